--- a/services/shedhilld/caller_table.cpp
+++ b/services/shedhilld/caller_table.cpp
@@ -12,24 +12,24 @@
 void caller_table::accept(int descriptor, relay::caller_listener& listener, dispatch::caller_limits const& limits)
 {
     auto const number = ++m_last_number;
-    auto const made = std::make_shared<relay::caller_connection>(
+    auto const connection = std::make_shared<relay::caller_connection>(
         m_loop, number, listener, relay::read_limits { limits.header_bytes, limits.body_bytes });
-    m_callers.emplace(number, made);
-    made->open(descriptor);
+    m_callers.emplace(number, connection);
+    connection->open(descriptor);
 }
 
-void caller_table::forget_later(std::uint64_t number)
+void caller_table::remove_later(std::uint64_t number)
 {
     m_loop.at_end_of_round([this, number] { m_callers.erase(number); });
 }
 
-void caller_table::close_at_limit(dispatch::caller_limits const& limits, instant now)
+void caller_table::close_timed_out(dispatch::caller_limits const& limits, instant now)
 {
     std::vector<std::shared_ptr<relay::caller_connection>> idle;
     for (auto const& [number, caller] : m_callers) {
-        auto const rest = now - caller->last_activity();
+        auto const idle_time = now - caller->last_activity();
         auto const limit = caller->has_begun_request() ? limits.header_time : limits.idle_time;
-        if (!caller->is_answering() && rest > limit)
+        if (!caller->is_answering() && idle_time > limit)
             idle.push_back(caller);
     }
     for (auto const& caller : idle)
@@ -46,19 +46,19 @@
     }
 }
 
-bool caller_table::has_half_an_exchange() const
+bool caller_table::has_unfinished_exchange() const
 {
     return std::ranges::any_of(m_callers,
         [](auto const& entry) { return entry.second->has_begun_request() || entry.second->has_unwritten(); });
 }
 
-std::vector<caller_table::ended_reader> caller_table::end_slow_readers()
+std::vector<caller_table::disconnected_reader> caller_table::disconnect_slow_readers()
 {
     auto const& held = m_loop.held();
     std::vector<relay::waiting_reader> readers;
     for (auto const& [number, caller] : m_callers)
         readers.push_back({ number, caller->unwritten_size() });
-    std::vector<ended_reader> ended;
+    std::vector<disconnected_reader> ended;
     for (auto const number : relay::readers_to_end(std::move(readers), held.held(), held.limit())) {
         auto const caller = m_callers.at(number);
         ended.push_back({ caller->unwritten_size() });
--- a/services/shedhilld/caller_table.h
+++ b/services/shedhilld/caller_table.h
@@ -22,21 +22,21 @@
 
     void accept(int descriptor, relay::caller_listener& listener, dispatch::caller_limits const& limits);
     // Its connection may be on the stack: it goes at the end of the round.
-    void forget_later(std::uint64_t number);
+    void remove_later(std::uint64_t number);
     [[nodiscard]] std::size_t size() const { return m_callers.size(); }
 
     // Closes those who have rested, or taken for a request's head, longer than they may.
-    void close_at_limit(dispatch::caller_limits const& limits, instant now);
+    void close_timed_out(dispatch::caller_limits const& limits, instant now);
     // Lets all go who are not in the middle of a request.
     void close_idle();
-    [[nodiscard]] bool has_half_an_exchange() const;
+    [[nodiscard]] bool has_unfinished_exchange() const;
 
     // A caller that was ended because it read too slowly.
-    struct ended_reader {
+    struct disconnected_reader {
         std::size_t unread { 0 };
     };
     // Ends the slowest readers until what is held for peers is within its limit.
-    std::vector<ended_reader> end_slow_readers();
+    std::vector<disconnected_reader> disconnect_slow_readers();
 
 private:
     relay::event_loop& m_loop;
--- a/services/shedhilld/counter_names.cpp
+++ b/services/shedhilld/counter_names.cpp
@@ -4,11 +4,11 @@
 
 namespace shedhill::daemon {
 
-std::string counter_name(dispatch::count_event const& happened)
+std::string counter_name(dispatch::count_event const& event)
 {
     auto const with_reason
-        = [&](char const* name) { return std::string(name) + "{reason=\"" + std::string(happened.reason) + "\"}"; };
-    switch (happened.which) {
+        = [&](char const* name) { return std::string(name) + "{reason=\"" + std::string(event.reason) + "\"}"; };
+    switch (event.which) {
     case dispatch::counted::requests:
         return "shedhill_requests_total";
     case dispatch::counted::answers:
--- a/services/shedhilld/counter_names.h
+++ b/services/shedhilld/counter_names.h
@@ -8,7 +8,7 @@
 
 namespace shedhill::daemon {
 
-std::string counter_name(dispatch::count_event const& happened);
+std::string counter_name(dispatch::count_event const& event);
 // The histogram that the time counts into.
 std::string histogram_name(dispatch::time_event const& measured);
 
--- a/services/shedhilld/endpoint_connections.cpp
+++ b/services/shedhilld/endpoint_connections.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-constexpr milliseconds fresh_for { 600 };
+constexpr milliseconds max_fresh_idle_time { 600 };
 
 } // namespace
 
 std::shared_ptr<relay::call_connection> endpoint_connections::take(
-    endpoint_key start, dispatch::connection_choice choice, instant now)
+    endpoint_key instance, dispatch::connection_choice choice, instant now)
 {
-    auto const found = m_idle.find(start);
+    auto const found = m_idle.find(instance);
     while (found != m_idle.end() && !found->second.empty()) {
-        auto& kept = found->second;
-        auto const& last = kept.back();
+        auto& idle = found->second;
+        auto const& last = idle.back();
         bool const is_usable = last->is_idle() && now < last->kept_until();
-        if (is_usable && choice == dispatch::connection_choice::fresh && now - last->idle_since() > fresh_for)
+        if (is_usable && choice == dispatch::connection_choice::fresh && now - last->idle_since() > max_fresh_idle_time)
             break;
-        auto connection = std::move(kept.back());
-        kept.pop_back();
+        auto connection = std::move(idle.back());
+        idle.pop_back();
         if (is_usable)
             return connection;
         connection->abandon();
@@ -29,12 +29,12 @@
     return std::make_shared<relay::call_connection>(m_loop);
 }
 
-void endpoint_connections::keep(endpoint_key start, std::shared_ptr<relay::call_connection> connection)
+void endpoint_connections::add_idle(endpoint_key instance, std::shared_ptr<relay::call_connection> connection)
 {
-    m_idle[start].push_back(std::move(connection));
+    m_idle[instance].push_back(std::move(connection));
 }
 
-void endpoint_connections::close_old(instant now)
+void endpoint_connections::close_expired(instant now)
 {
     for (auto entry = m_idle.begin(); entry != m_idle.end();) {
         std::erase_if(entry->second, [now](auto const& connection) {
--- a/services/shedhilld/endpoint_connections.h
+++ b/services/shedhilld/endpoint_connections.h
@@ -20,10 +20,11 @@
     }
 
     // A kept connection that suits, or a new one.
-    std::shared_ptr<relay::call_connection> take(endpoint_key start, dispatch::connection_choice choice, instant now);
-    void keep(endpoint_key start, std::shared_ptr<relay::call_connection> connection);
+    std::shared_ptr<relay::call_connection> take(
+        endpoint_key instance, dispatch::connection_choice choice, instant now);
+    void add_idle(endpoint_key instance, std::shared_ptr<relay::call_connection> connection);
     // Closes those that the endpoint will not keep much longer.
-    void close_old(instant now);
+    void close_expired(instant now);
 
 private:
     relay::event_loop& m_loop;
--- a/services/shedhilld/endpoint_daemon.cpp
+++ b/services/shedhilld/endpoint_daemon.cpp
@@ -14,7 +14,7 @@
 
 constexpr milliseconds tick_interval { 100 };
 
-endpoint::engine_end end_of(net::http_call_end ended)
+endpoint::engine_end to_engine_end(net::http_call_end ended)
 {
     switch (ended) {
     case net::http_call_end::whole:
@@ -61,7 +61,7 @@
 void endpoint_daemon::post(endpoint::event_body body)
 {
     for (auto& effect : m_reducer.reduce({ m_host.now(), m_host.draw(), std::move(body) }))
-        std::visit([this](auto& done) { run(done); }, effect);
+        std::visit([this](auto& effect_body) { run(effect_body); }, effect);
 }
 
 void endpoint_daemon::run(endpoint::send_message& effect)
@@ -140,19 +140,19 @@
             post(endpoint::engine_data { number, std::string(data), meter.service() });
         });
     m_calls.erase(number);
-    post(endpoint::engine_ended { number, end_of(ended), meter.service() });
+    post(endpoint::engine_ended { number, to_engine_end(ended), meter.service() });
 }
 
 // Lets the last messages reach their routers.
 void endpoint_daemon::finish_stopping()
 {
     constexpr std::chrono::milliseconds pause { 20 };
-    constexpr int most_pauses = 100;
+    constexpr int max_pauses = 100;
     m_frames->close();
     auto const is_drained = [this] {
         return std::ranges::all_of(m_connections, [](auto const& entry) { return entry.second->is_drained(); });
     };
-    for (int waited = 0; !is_drained() && waited < most_pauses; ++waited)
+    for (int waited = 0; !is_drained() && waited < max_pauses; ++waited)
         boost::this_fiber::sleep_for(pause);
     m_host.stop();
 }
--- a/services/shedhilld/endpoint_rows.h
+++ b/services/shedhilld/endpoint_rows.h
@@ -27,14 +27,14 @@
     using rows = std::map<std::string, dispatch::table_follower::row>;
 
     // The entries of all rows that can be read.
-    [[nodiscard]] std::vector<dispatch::endpoint_entry> read(rows const& shown)
+    [[nodiscard]] std::vector<dispatch::endpoint_entry> read(rows const& table_rows)
     {
         std::vector<dispatch::endpoint_entry> entries;
         std::map<std::string, parsed_row> parsed;
-        for (auto const& [key, row] : shown) {
-            auto const& read = parsed.emplace(key, parse(key, row)).first->second;
-            if (read.entry)
-                entries.push_back(*read.entry);
+        for (auto const& [key, row] : table_rows) {
+            auto const& parsed_entry = parsed.emplace(key, parse(key, row)).first->second;
+            if (parsed_entry.entry)
+                entries.push_back(*parsed_entry.entry);
         }
         m_parsed = std::move(parsed);
         return entries;
@@ -52,8 +52,8 @@
 
     parsed_row parse(std::string const& key, dispatch::table_follower::row const& row)
     {
-        if (auto const known = m_parsed.find(key); known != m_parsed.end() && known->second.version == row.version)
-            return std::move(known->second);
+        if (auto const cached = m_parsed.find(key); cached != m_parsed.end() && cached->second.version == row.version)
+            return std::move(cached->second);
         auto entry = TableBinding::parse_endpoint(key, row.value);
         if (!entry) {
             m_refused.push_back({ key, entry.error().to_string() });
--- a/services/shedhilld/exchange_table.h
+++ b/services/shedhilld/exchange_table.h
@@ -17,10 +17,10 @@
 public:
     using caller_number = std::uint64_t;
 
-    void add(request_number request, std::unique_ptr<Exchange> opened)
+    void add(request_number request, std::unique_ptr<Exchange> exchange)
     {
-        m_request_of_caller[opened->caller().number()] = request;
-        m_exchanges.emplace(request, std::move(opened));
+        m_request_of_caller[exchange->caller().number()] = request;
+        m_exchanges.emplace(request, std::move(exchange));
     }
 
     [[nodiscard]] Exchange* find(request_number request)
@@ -30,23 +30,23 @@
     }
 
     // The caller waits for nothing any more. The request that it waited for, if any; that exchange is over.
-    std::optional<request_number> forget_caller(caller_number caller)
+    std::optional<request_number> remove_caller(caller_number caller)
     {
         auto const found = m_request_of_caller.find(caller);
         if (found == m_request_of_caller.end())
             return std::nullopt;
         auto const request = found->second;
         m_request_of_caller.erase(found);
-        m_over.push_back(request);
+        m_finished.push_back(request);
         return request;
     }
 
-    // The exchange may be on the stack now: it goes with the next call of remove_over().
-    void note_over(request_number request) { m_over.push_back(request); }
+    // The exchange may be on the stack now: it goes with the next call of remove_finished().
+    void mark_finished(request_number request) { m_finished.push_back(request); }
 
-    void remove_over()
+    void remove_finished()
     {
-        for (auto const request : std::exchange(m_over, {})) {
+        for (auto const request : std::exchange(m_finished, {})) {
             auto const found = m_exchanges.find(request);
             if (found == m_exchanges.end())
                 continue;
@@ -60,17 +60,17 @@
     template <typename Action>
     void for_each(Action&& action)
     {
-        for (auto const& [number, served] : m_exchanges)
-            action(*served);
+        for (auto const& [number, exchange] : m_exchanges)
+            action(*exchange);
     }
 
     [[nodiscard]] std::size_t size() const { return m_exchanges.size(); }
 
 private:
     std::unordered_map<request_number, std::unique_ptr<Exchange>> m_exchanges;
-    // Invariant: a caller's connection waits for one request at most, which is in m_exchanges or in m_over.
+    // Invariant: a caller's connection waits for one request at most, which is in m_exchanges or in m_finished.
     std::unordered_map<caller_number, request_number> m_request_of_caller;
-    std::vector<request_number> m_over;
+    std::vector<request_number> m_finished;
 };
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/main.cpp
+++ b/services/shedhilld/main.cpp
@@ -4,8 +4,8 @@
 #include "libraries/net/address.h"
 #include "libraries/net/fiber_scheduler.h"
 #include "libraries/settings/setting_table.h"
-#include "services/shedhilld/direct_main.h"
 #include "services/shedhilld/endpoint_daemon.h"
+#include "services/shedhilld/platform_main.h"
 #include "services/shedhilld/policy_settings.h"
 #include "services/shedhilld/router_daemon.h"
 
@@ -16,7 +16,7 @@
 
 using namespace shedhill;
 
-constexpr std::size_t least_key_size = 16;
+constexpr std::size_t min_key_size = 16;
 
 settings::setting_table describe_settings()
 {
@@ -63,16 +63,16 @@
     return table;
 }
 
-endpoint::choice_policy policy_of(std::string const& word)
+endpoint::choice_policy policy_of(std::string const& name)
 {
-    if (word == "least-level")
+    if (name == "least-level")
         return endpoint::choice_policy::least_level;
-    if (word == "own-counters")
+    if (name == "own-counters")
         return endpoint::choice_policy::own_counters;
     return endpoint::choice_policy::corrected_draw;
 }
 
-process_epoch new_epoch()
+process_epoch make_epoch()
 {
     // NOTE: Microseconds of the wall clock: a restart on the same VM must have a larger epoch.
     auto const since = std::chrono::system_clock::now().time_since_epoch();
@@ -100,14 +100,14 @@
     return peers;
 }
 
-result<void> check(settings::setting_values const& values)
+result<void> check_settings(settings::setting_values const& values)
 {
     auto const refuse = [](std::string const& reason) { return fail("read settings", "shedhilld", reason); };
     if (values.text("role") == "none")
         return refuse("--role (SHEDHILL_ROLE) must be router or endpoint");
     if (values.text("vm").empty())
         return refuse("--vm (SHEDHILL_VM) is missing");
-    if (values.text("fleet-key").size() < least_key_size)
+    if (values.text("fleet-key").size() < min_key_size)
         return refuse("--fleet-key (SHEDHILL_FLEET_KEY) must have at least 16 characters");
     for (auto const* name : { "frames", "admin", "http", "platform", "engine" }) {
         if (auto const parsed = net::parse_address(values.text(name)); !parsed)
@@ -119,16 +119,16 @@
 
 net::fleet_identity make_identity(settings::setting_values const& values, wire::process_role role)
 {
-    return { vm_name(values.text("vm")), role, new_epoch(), values.text("fleet-key") };
+    return { vm_name(values.text("vm")), role, make_epoch(), values.text("fleet-key") };
 }
 
-daemon::router_settings make_router(settings::setting_values const& values)
+daemon::router_settings make_router_settings(settings::setting_values const& values)
 {
-    daemon::router_settings made;
-    made.identity = make_identity(values, wire::process_role::router);
-    auto& options = made.options;
-    options.vm = made.identity.vm;
-    options.epoch = made.identity.epoch;
+    daemon::router_settings settings;
+    settings.identity = make_identity(values, wire::process_role::router);
+    auto& options = settings.options;
+    options.vm = settings.identity.vm;
+    options.epoch = settings.identity.epoch;
     options.domain = failure_domain(values.text("failure-domain"));
     options.subset_size = static_cast<std::size_t>(values.number("subset-size"));
     options.offer_spread = static_cast<std::size_t>(values.number("offer-spread"));
@@ -140,37 +140,37 @@
     options.report_interval = milliseconds(values.number("report-interval-ms"));
     options.report_bytes_per_second = static_cast<std::size_t>(values.number("report-bytes"));
     options.head_interval = milliseconds(values.number("head-interval-ms"));
-    made.http_address = values.text("http");
-    made.frame_address = values.text("frames");
-    made.admin_address = values.text("admin");
-    made.platform_address = values.text("platform");
-    made.limits.body_bytes = static_cast<std::size_t>(values.number("body-bound"));
+    settings.http_address = values.text("http");
+    settings.frame_address = values.text("frames");
+    settings.admin_address = values.text("admin");
+    settings.platform_address = values.text("platform");
+    settings.limits.body_bytes = static_cast<std::size_t>(values.number("body-bound"));
     // The peers were checked before.
-    made.peers = parse_peers(values.text("peers")).value_or(std::vector<table_service::vm_record> {});
-    return made;
+    settings.peers = parse_peers(values.text("peers")).value_or(std::vector<table_service::vm_record> {});
+    return settings;
 }
 
-daemon::endpoint_settings make_endpoint(settings::setting_values const& values)
+daemon::endpoint_settings make_endpoint_settings(settings::setting_values const& values)
 {
-    daemon::endpoint_settings made;
-    made.identity = make_identity(values, wire::process_role::endpoint);
-    made.options.vm = made.identity.vm;
-    made.options.epoch = made.identity.epoch;
-    made.options.slots = static_cast<std::uint32_t>(values.number("slots"));
-    made.options.policy = policy_of(values.text("choice"));
-    made.options.weights
+    daemon::endpoint_settings settings;
+    settings.identity = make_identity(values, wire::process_role::endpoint);
+    settings.options.vm = settings.identity.vm;
+    settings.options.epoch = settings.identity.epoch;
+    settings.options.slots = static_cast<std::uint32_t>(values.number("slots"));
+    settings.options.policy = policy_of(values.text("choice"));
+    settings.options.weights
         = { values.number("prompt-weight"), values.number("cached-weight"), values.number("generated-weight") };
-    made.options.draw_size = static_cast<std::size_t>(values.number("draw-size"));
-    made.frame_address = values.text("frames");
-    made.admin_address = values.text("admin");
-    made.engine_address = values.text("engine");
-    return made;
+    settings.options.draw_size = static_cast<std::size_t>(values.number("draw-size"));
+    settings.frame_address = values.text("frames");
+    settings.admin_address = values.text("admin");
+    settings.engine_address = values.text("engine");
+    return settings;
 }
 
 template <typename Daemon>
-int run_until_stopped(daemon::process& host, Daemon& served)
+int run_until_stopped(daemon::process& host, Daemon& role_daemon)
 {
-    if (auto const opened = served.open(); !opened) {
+    if (auto const opened = role_daemon.open(); !opened) {
         std::cerr << opened.error().to_string() << '\n';
         return EXIT_FAILURE;
     }
@@ -192,10 +192,10 @@
         return EXIT_SUCCESS;
     }
     if (values && values->text("binding") == "platform")
-        return daemon::run_direct_router({ values->text("settings-file"), daemon::read_policy(*values),
+        return daemon::run_platform_router({ values->text("settings-file"), daemon::read_policy(*values),
             static_cast<std::size_t>(values->number("full-mesh-routers")),
             static_cast<std::uint16_t>(values->number("metrics-port")), values->has_flag("check-settings") });
-    auto const checked = values ? check(*values) : result<void>(tl::unexpected<error>(values.error()));
+    auto const checked = values ? check_settings(*values) : result<void>(tl::unexpected<error>(values.error()));
     if (!checked) {
         std::cerr << checked.error().to_string() << '\n';
         return 2;
@@ -208,9 +208,9 @@
     net::process_io();
     daemon::process host;
     if (values->text("role") == "router") {
-        daemon::router_daemon router(host, make_router(*values));
+        daemon::router_daemon router(host, make_router_settings(*values));
         return run_until_stopped(host, router);
     }
-    daemon::endpoint_daemon endpoint(host, make_endpoint(*values));
+    daemon::endpoint_daemon endpoint(host, make_endpoint_settings(*values));
     return run_until_stopped(host, endpoint);
 }
--- a/services/shedhilld/direct_main.cpp
+++ b/services/shedhilld/platform_main.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // Settings, signals and bindings of the direct router.
-#include "services/shedhilld/direct_main.h"
+#include "services/shedhilld/platform_main.h"
 
 #include "platform/caller_binding.h"
 #include "platform/settings_file.h"
 #include "platform/table_binding.h"
-#include "services/shedhilld/direct_router.h"
+#include "services/shedhilld/platform_router.h"
 
 #include <cstdlib>
 #include <iostream>
@@ -16,7 +16,7 @@
 
 signal_flags g_signals; // NOLINT: a signal handler reaches nothing else
 
-void note_signal(int signal)
+void handle_signal(int signal)
 {
     if (signal == SIGHUP)
         g_signals.reload = 1;
@@ -27,7 +27,7 @@
 void install_signals()
 {
     struct sigaction action { };
-    action.sa_handler = note_signal; // NOLINT: the system's own idiom
+    action.sa_handler = handle_signal; // NOLINT: the system's own idiom
     for (auto const signal : { SIGTERM, SIGINT, SIGHUP })
         sigaction(signal, &action, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
@@ -43,7 +43,7 @@
 
 } // namespace
 
-int run_direct_router(direct_options const& options)
+int run_platform_router(platform_router_options const& options)
 {
     install_signals();
     auto const path = options.settings_file.empty() ? platform_binding::settings_path() : options.settings_file;
@@ -58,7 +58,7 @@
         std::cout << "settings are valid\n";
         return EXIT_SUCCESS;
     }
-    direct_router<platform_binding::caller_binding, platform_binding::table_binding> router(
+    platform_router<platform_binding::caller_binding, platform_binding::table_binding> router(
         *settings, options.policy, [path] { return platform_binding::read_settings_file(path); });
     if (auto const opened = router.open(); !opened) {
         std::cerr << opened.error().to_string() << '\n';
--- a/services/shedhilld/direct_main.h
+++ b/services/shedhilld/platform_main.h
@@ -11,7 +11,7 @@
 
 // Runs until the process is stopped; the exit status is the process's. With `is_check` the settings are read and told
 // good or bad, and nothing is run. An empty path stands for the file that the platform names.
-struct direct_options {
+struct platform_router_options {
     // The platform's settings file; empty for where the environment says that it is.
     std::string settings_file;
     dispatch::dispatch_policy policy;
@@ -23,6 +23,6 @@
     bool is_check { false };
 };
 
-int run_direct_router(direct_options const& options);
+int run_platform_router(platform_router_options const& options);
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/direct_router.h
+++ b/services/shedhilld/platform_router.h
@@ -17,7 +17,7 @@
 #include "services/shedhilld/counter_names.h"
 #include "services/shedhilld/endpoint_connections.h"
 #include "services/shedhilld/exchange_table.h"
-#include "services/shedhilld/fleet_knowledge.h"
+#include "services/shedhilld/fleet_view.h"
 #include "services/shedhilld/log_levels.h"
 #include "services/shedhilld/router_gauges.h"
 
@@ -35,11 +35,12 @@
 };
 
 template <relay::caller_protocol CallerBinding, relay::table_protocol TableBinding>
-class direct_router final : relay::caller_listener, relay::exchange_owner {
+class platform_router final : relay::caller_listener, relay::exchange_owner {
 public:
     using reload_function = std::function<result<relay::deployment_settings>()>;
 
-    direct_router(relay::deployment_settings settings, dispatch::dispatch_policy const& policy, reload_function reload)
+    platform_router(
+        relay::deployment_settings settings, dispatch::dispatch_policy const& policy, reload_function reload)
         : m_settings(std::move(settings))
         , m_reload(std::move(reload))
         , m_random(std::random_device {}())
@@ -47,8 +48,8 @@
         , m_reducer(make_options(m_settings, policy))
         , m_connections(m_loop)
         , m_probes(m_loop,
-              [this](endpoint_key start, dispatch::probe_outcome outcome) {
-                  on_event(dispatch::endpoint_probed { start, outcome });
+              [this](endpoint_key instance, dispatch::probe_outcome outcome) {
+                  on_event(dispatch::endpoint_probed { instance, outcome });
               })
         , m_caller_listener(m_loop,
               [this](int descriptor) { m_callers.accept(descriptor, *this, m_reducer.routes().current().limits); })
@@ -57,7 +58,7 @@
               [this](std::string_view) {
                   return relay::status_answer { 200, metrics_text() };
               })
-        , m_knowledge(m_loop, m_settings, *this)
+        , m_fleet_view(m_loop, m_settings, *this)
         , m_callers(m_loop)
     {
     }
@@ -65,19 +66,19 @@
     result<void> open()
     {
         m_loop.link().set_megabits_per_second(m_settings.link_megabits_per_second);
-        m_loop.held().set_limit(m_settings.memory_bytes / part_of_memory_held);
+        m_loop.held().set_limit(m_settings.memory_bytes / buffer_memory_divisor);
         TRY_VOID(m_caller_listener.open(m_settings.caller_address));
         TRY_VOID(m_ready_server.open(m_settings.ready_address));
         auto const metrics = open_metrics();
-        TRY_VOID(m_knowledge.open());
+        TRY_VOID(m_fleet_view.open());
         log_state("started",
             dispatch::log_fields()
                 .add("callers", m_settings.caller_address)
                 .add("callers_port", m_caller_listener.port())
                 .add("ready_port", m_ready_server.port())
                 .add("metrics_port", m_metrics_server.port())
-                .add("peers", m_knowledge.peer_address())
-                .add("peers_port", m_knowledge.peer_port())
+                .add("peers", m_fleet_view.peer_address())
+                .add("peers_port", m_fleet_view.peer_port())
                 .take());
         if (!metrics)
             log_state("metrics_unavailable", dispatch::log_fields().add("reason", metrics.error().to_string()).take());
@@ -87,23 +88,23 @@
     // Until a stop was asked for and everything has ended.
     void run(signal_flags& signals)
     {
-        while (!m_is_over) {
-            m_loop.run_once(round_limit);
+        while (!m_has_ended) {
+            m_loop.run_once(max_round_wait);
             auto const now = m_loop.now();
             if (now - m_ticked_at >= tick_interval) {
                 auto const since = now - std::exchange(m_ticked_at, now);
-                tick(now, std::max(since - usual_tick, milliseconds(0)), signals);
+                tick(now, std::max(since - expected_tick_interval, milliseconds(0)), signals);
             }
         }
         log_state("stopped", {});
     }
 
-    // What fleet_knowledge tells this router.
+    // What fleet_view tells this router.
 
-    void learn(dispatch::event_body happened)
+    void handle_event(dispatch::event_body event)
     {
-        reduce(std::move(happened));
-        take_events();
+        reduce(std::move(event));
+        process_events();
     }
 
     void log_state(std::string_view event, std::string const& fields)
@@ -120,22 +121,22 @@
     [[nodiscard]] dispatch::dispatch_reducer& reducer() { return m_reducer; }
 
 private:
-    using knowledge = fleet_knowledge<direct_router, TableBinding>;
+    using view = fleet_view<platform_router, TableBinding>;
     using exchange = relay::exchange<CallerBinding>;
 
-    static constexpr milliseconds round_limit { 10 };
+    static constexpr milliseconds max_round_wait { 10 };
     static constexpr milliseconds tick_interval { 8 };
     // A tick comes at the latest so long after the one before, if the process has time for it.
-    static constexpr milliseconds usual_tick { 20 };
-    static constexpr milliseconds check_interval { 24 };
-    static constexpr milliseconds traffic_interval { 10000 };
+    static constexpr milliseconds expected_tick_interval { 20 };
+    static constexpr milliseconds timeout_check_interval { 24 };
+    static constexpr milliseconds traffic_log_interval { 10000 };
     // Of the VM's memory, what may be held for peers: the rest is for the process itself, which takes 20 MB in a fleet
     // of hundreds, and for the system's own buffers of the same connections.
-    static constexpr std::size_t part_of_memory_held = 4;
-    static constexpr milliseconds connect_limit { 160 };
+    static constexpr std::size_t buffer_memory_divisor = 4;
+    static constexpr milliseconds connect_timeout { 160 };
     // Callers may rest for seconds; a small VM with 1,600 of them spent 9 in 100 of its time on looking at each 40
     // times a second.
-    static constexpr milliseconds idle_check_interval { 240 };
+    static constexpr milliseconds idle_caller_check_interval { 240 };
 
     static dispatch::dispatch_options make_options(
         relay::deployment_settings const& settings, dispatch::dispatch_policy const& policy)
@@ -164,13 +165,13 @@
     void on_request(relay::caller_connection& connection, relay::caller_request request) override
     {
         // Where many callers stay connected, descriptors run short: who has been served is let go.
-        if (m_stop.has_begun() || m_callers.size() > most_kept_callers() || sends_callers_away())
+        if (m_stop.has_begun() || m_callers.size() > max_persistent_callers() || sends_callers_away())
             connection.close_after_answer();
         if (m_stop.is_closing())
-            return refuse_unread(connection, request, dispatch::refusal_reason::stopping, stopping_return);
+            return refuse_unparsed(connection, request, dispatch::refusal_reason::stopping, stopping_retry_delay);
         // Not run and not kept: what is held already is served first.
         if (m_loop.held().is_over())
-            return refuse_unread(connection, request, dispatch::refusal_reason::memory_full, dispatch::least_return);
+            return refuse_unparsed(connection, request, dispatch::refusal_reason::memory_full, dispatch::least_return);
         dispatch::request_arrived arrived;
         arrived.request = request_number(++m_last_request);
         if (!CallerBinding::read_request(request, arrived)) {
@@ -189,7 +190,7 @@
         on_event(std::move(arrived));
     }
 
-    void refuse_unread(relay::caller_connection& connection, relay::caller_request const& request,
+    void refuse_unparsed(relay::caller_connection& connection, relay::caller_request const& request,
         dispatch::refusal_reason reason, milliseconds retry_after)
     {
         bool const closes = reason == dispatch::refusal_reason::stopping || connection.closes_after_answer();
@@ -211,90 +212,90 @@
     void on_caller_gone(relay::caller_connection& connection) override
     {
         auto const number = connection.number();
-        if (auto const request = m_exchanges.forget_caller(number))
+        if (auto const request = m_exchanges.remove_caller(number))
             on_event(dispatch::caller_left { *request });
-        m_callers.forget_later(number);
+        m_callers.remove_later(number);
     }
 
     // Exchanges. What they tell is taken up at the end of the round: they are on the stack now.
 
-    void on_event(dispatch::event_body happened) override
+    void on_event(dispatch::event_body event) override
     {
-        m_events.push_back(std::move(happened));
-        if (std::exchange(m_is_drain_scheduled, true))
+        m_events.push_back(std::move(event));
+        if (std::exchange(m_is_processing_scheduled, true))
             return;
         m_loop.at_end_of_round([this] {
-            m_is_drain_scheduled = false;
-            take_events();
+            m_is_processing_scheduled = false;
+            process_events();
         });
     }
 
     void on_connection_free(
         dispatch::send_attempt const& attempt, std::shared_ptr<relay::call_connection> connection) override
     {
-        m_connections.keep(attempt.start, std::move(connection));
+        m_connections.add_idle(attempt.start, std::move(connection));
     }
 
     [[nodiscard]] bool suspects_requests() const override { return m_reducer.suspects_requests(); }
 
-    void on_exchange_over(request_number request) override { m_exchanges.note_over(request); }
+    void on_exchange_over(request_number request) override { m_exchanges.mark_finished(request); }
 
-    void take_events()
+    void process_events()
     {
         while (!m_events.empty()) {
-            auto happened = std::move(m_events.front());
+            auto event = std::move(m_events.front());
             m_events.pop_front();
-            reduce(std::move(happened));
+            reduce(std::move(event));
         }
-        m_exchanges.remove_over();
+        m_exchanges.remove_finished();
     }
 
-    void reduce(dispatch::event_body happened)
+    void reduce(dispatch::event_body event)
     {
-        auto effects = m_reducer.reduce({ m_loop.now(), m_random(), std::move(happened) });
+        auto effects = m_reducer.reduce({ m_loop.now(), m_random(), std::move(event) });
         for (auto& effect : effects)
             std::visit([this](auto& body) { carry_out(body); }, effect);
     }
 
-    void carry_out(dispatch::send_attempt& sent)
+    void carry_out(dispatch::send_attempt& attempt)
     {
-        auto* const served = m_exchanges.find(sent.request);
-        if (served == nullptr)
+        auto* const open_exchange = m_exchanges.find(attempt.request);
+        if (open_exchange == nullptr)
             return;
-        auto connection = m_connections.take(sent.start, sent.connection, m_loop.now());
+        auto connection = m_connections.take(attempt.start, attempt.connection, m_loop.now());
         m_metrics.add(
             connection->is_idle() ? "shedhill_connections_reused_total" : "shedhill_connections_opened_total");
-        served->start(std::move(sent), std::move(connection));
+        open_exchange->start(std::move(attempt), std::move(connection));
     }
 
-    void carry_out(dispatch::cancel_attempt const& cancelled)
+    void carry_out(dispatch::cancel_attempt const& cancellation)
     {
-        if (auto* const served = m_exchanges.find(cancelled.request))
-            served->drop_attempt();
+        if (auto* const open_exchange = m_exchanges.find(cancellation.request))
+            open_exchange->drop_attempt();
     }
 
     void carry_out(dispatch::answer_refusal const& refusal)
     {
-        if (auto* const served = m_exchanges.find(refusal.request))
-            served->refuse(refusal);
+        if (auto* const open_exchange = m_exchanges.find(refusal.request))
+            open_exchange->refuse(refusal);
     }
 
-    void carry_out(dispatch::pass_answer const& passed)
+    void carry_out(dispatch::pass_answer const& withheld_answer)
     {
-        if (auto* const served = m_exchanges.find(passed.request))
-            served->pass_kept_answer();
+        if (auto* const open_exchange = m_exchanges.find(withheld_answer.request))
+            open_exchange->pass_kept_answer();
     }
 
-    void carry_out(dispatch::break_answer const& broken)
+    void carry_out(dispatch::break_answer const& broken_answer)
     {
-        if (auto* const served = m_exchanges.find(broken.request))
-            served->break_off();
+        if (auto* const open_exchange = m_exchanges.find(broken_answer.request))
+            open_exchange->break_off();
     }
 
-    void carry_out(dispatch::set_ready const& changed)
+    void carry_out(dispatch::set_ready const& readiness)
     {
-        m_is_ready = changed.is_ready;
-        m_sends_away_since = changed.sends_callers_away ? m_loop.now() : instant {};
+        m_is_ready = readiness.is_ready;
+        m_sends_callers_away_since = readiness.sends_callers_away ? m_loop.now() : instant {};
     }
 
     void carry_out(dispatch::stop_process const&) { }
@@ -303,7 +304,7 @@
 
     void carry_out(dispatch::log_line const& line) { log(level_of(line.level), line.event, line.fields); }
 
-    void carry_out(dispatch::count_event const& happened) { m_metrics.add(counter_name(happened)); }
+    void carry_out(dispatch::count_event const& event) { m_metrics.add(counter_name(event)); }
 
     void carry_out(dispatch::time_event const& measured)
     {
@@ -313,11 +314,12 @@
     // Not before the balancer has noticed: until then they would come back here.
     [[nodiscard]] bool sends_callers_away() const
     {
-        return m_sends_away_since != instant {} && m_loop.now() - m_sends_away_since >= relay::balancer_notice;
+        return m_sends_callers_away_since != instant {}
+        && m_loop.now() - m_sends_callers_away_since >= relay::balancer_notice;
     }
 
     // Half of the descriptors are for callers who rest between requests; the others are for those being served.
-    [[nodiscard]] std::size_t most_kept_callers() const { return m_settings.descriptors / 4; }
+    [[nodiscard]] std::size_t max_persistent_callers() const { return m_settings.descriptors / 4; }
 
     // Time.
 
@@ -331,38 +333,38 @@
         }
         reduce(dispatch::tick { lag, m_loop.take_busy_part(), m_loop.take_link_part() });
         m_log.flush();
-        take_events();
+        process_events();
         auto const draw = m_random();
-        m_knowledge.tick(now, draw);
-        if (now - m_traffic_told_at >= traffic_interval) {
-            m_traffic_told_at = now;
-            log(logging::event_level::debug, "peer_traffic", peer_traffic_fields(m_knowledge.traffic()));
+        m_fleet_view.tick(now, draw);
+        if (now - m_traffic_logged_at >= traffic_log_interval) {
+            m_traffic_logged_at = now;
+            log(logging::event_level::debug, "peer_traffic", peer_traffic_fields(m_fleet_view.traffic()));
         }
-        if (now - m_checked_at >= check_interval) {
+        if (now - m_checked_at >= timeout_check_interval) {
             m_checked_at = now;
-            check_times(now);
+            check_timeouts(now);
         }
-        go_on_stopping(now);
+        continue_stop(now);
     }
 
-    void check_times(instant now)
+    void check_timeouts(instant now)
     {
-        m_exchanges.for_each([now](exchange& served) { served.check_time(now, connect_limit); });
+        m_exchanges.for_each([now](exchange& open_exchange) { open_exchange.check_time(now, connect_timeout); });
         m_probes.check_time(now);
-        take_events();
-        m_connections.close_old(now);
+        process_events();
+        m_connections.close_expired(now);
         if (m_loop.held().is_over())
-            end_slow_readers();
-        if (now - m_idle_callers_checked_at >= idle_check_interval) {
+            disconnect_slow_readers();
+        if (now - m_idle_callers_checked_at >= idle_caller_check_interval) {
             m_idle_callers_checked_at = now;
-            m_callers.close_at_limit(m_reducer.routes().current().limits, now);
+            m_callers.close_timed_out(m_reducer.routes().current().limits, now);
         }
     }
 
-    void end_slow_readers()
+    void disconnect_slow_readers()
     {
         auto const held = m_loop.held().held();
-        for (auto const& reader : m_callers.end_slow_readers()) {
+        for (auto const& reader : m_callers.disconnect_slow_readers()) {
             log(logging::event_level::warning, "slow_reader_ended",
                 dispatch::log_fields()
                     .add("unread", reader.unread)
@@ -378,22 +380,23 @@
     void begin_stop(instant now)
     {
         m_stop.begin(now);
-        m_knowledge.leave();
+        m_fleet_view.leave();
         log_state("stop_requested", dispatch::log_fields().add("open", m_exchanges.size()).take());
         reduce(dispatch::drain_requested {});
     }
 
-    void go_on_stopping(instant now)
+    void continue_stop(instant now)
     {
         if (!m_stop.has_begun())
             return;
-        switch (m_stop.advance({ m_exchanges.size(), m_callers.has_half_an_exchange() }, m_settings.stop_time, now)) {
+        switch (
+            m_stop.advance({ m_exchanges.size(), m_callers.has_unfinished_exchange() }, m_settings.stop_time, now)) {
         case relay::stop_step::wait:
             return;
         case relay::stop_step::close_callers:
             return close_idle_callers();
         case relay::stop_step::end_process:
-            m_is_over = true;
+            m_has_ended = true;
             return;
         }
     }
@@ -411,7 +414,7 @@
             return log_state("reload_refused", dispatch::log_fields().add("reason", read.error().to_string()).take());
         m_settings.stop_time = read->stop_time;
         m_settings.seeds = read->seeds;
-        m_knowledge.add_seeds(m_settings.seeds);
+        m_fleet_view.add_seeds(m_settings.seeds);
         log_state("reloaded", {});
     }
 
@@ -425,14 +428,14 @@
     std::string metrics_text()
     {
         m_metrics.set("shedhill_ready", m_is_ready ? 1 : 0);
-        m_metrics.set("shedhill_follows_store", m_knowledge.is_following() ? 1 : 0);
-        m_metrics.set("shedhill_tells_other_domains", m_knowledge.is_telling_domains() ? 1 : 0);
-        m_metrics.set("shedhill_configuration_age_ms", static_cast<double>(m_knowledge.configuration_age().count()));
-        m_metrics.set("shedhill_endpoint_list_age_ms", static_cast<double>(m_knowledge.endpoint_list_age().count()));
-        m_metrics.set("shedhill_stored_quarantines", static_cast<double>(m_knowledge.stored_quarantines()));
-        m_metrics.set("shedhill_store_unheard_ms", static_cast<double>(m_knowledge.store_unheard().count()));
+        m_metrics.set("shedhill_follows_store", m_fleet_view.is_watching_store() ? 1 : 0);
+        m_metrics.set("shedhill_tells_other_domains", m_fleet_view.is_domain_delegate() ? 1 : 0);
+        m_metrics.set("shedhill_configuration_age_ms", static_cast<double>(m_fleet_view.configuration_age().count()));
+        m_metrics.set("shedhill_endpoint_list_age_ms", static_cast<double>(m_fleet_view.endpoint_list_age().count()));
+        m_metrics.set("shedhill_stored_quarantines", static_cast<double>(m_fleet_view.stored_quarantines()));
+        m_metrics.set("shedhill_store_unheard_ms", static_cast<double>(m_fleet_view.time_since_store_answer().count()));
         set_dispatch_gauges(m_metrics, m_reducer, m_loop.now());
-        set_peer_gauges(m_metrics, m_knowledge.traffic());
+        set_peer_gauges(m_metrics, m_fleet_view.traffic());
         m_metrics.set("shedhill_held_bytes", static_cast<double>(m_loop.held().held()));
         m_metrics.set("shedhill_held_bytes_limit", static_cast<double>(m_loop.held().limit()));
         set_log_gauges(m_metrics, m_log.counts());
@@ -443,7 +446,7 @@
     static constexpr std::uint16_t status_bad_request = 400;
     static constexpr std::uint16_t status_unavailable = 503;
     // Another router takes the request at once.
-    static constexpr milliseconds stopping_return { 20 };
+    static constexpr milliseconds stopping_retry_delay { 20 };
 
     relay::deployment_settings m_settings;
     reload_function m_reload;
@@ -458,22 +461,22 @@
     relay::listener_socket m_caller_listener;
     relay::status_server m_ready_server;
     relay::status_server m_metrics_server;
-    knowledge m_knowledge;
+    view m_fleet_view;
 
     std::uint64_t m_last_request { 0 };
     caller_table m_callers;
     exchange_table<exchange> m_exchanges;
     std::deque<dispatch::event_body> m_events;
-    bool m_is_drain_scheduled { false };
+    bool m_is_processing_scheduled { false };
 
     bool m_is_ready { false };
     // This router has stepped aside; the epoch while it has not.
-    instant m_sends_away_since {};
-    bool m_is_over { false };
+    instant m_sends_callers_away_since {};
+    bool m_has_ended { false };
     relay::stop_sequence m_stop;
     instant m_ticked_at {};
     instant m_checked_at {};
-    instant m_traffic_told_at {};
+    instant m_traffic_logged_at {};
     instant m_idle_callers_checked_at {};
 };
 
--- a/services/shedhilld/policy_settings.cpp
+++ b/services/shedhilld/policy_settings.cpp
@@ -12,18 +12,18 @@
 using dispatch::dispatch_policy;
 
 constexpr double percent = 0.01;
-constexpr double plain = 1;
+constexpr double unscaled = 1;
 
 struct policy_setting {
     char const* name;
     double dispatch_policy::*member;
     // What one in the setting is in the policy.
-    double unit;
-    std::int64_t most;
+    double scale;
+    std::int64_t max;
     char const* help;
 };
 
-constexpr std::array described {
+constexpr std::array policy_settings {
     policy_setting { "wait-within-share", &dispatch_policy::wait_within_share, percent, 400,
         "Longest wait at a router of what is within its team's share, in percent of the objective." },
     policy_setting { "wait-past-share", &dispatch_policy::wait_past_share, percent, 400,
@@ -43,7 +43,7 @@
         "only." },
     policy_setting { "margin-of-objective", &dispatch_policy::margin_of_objective, percent, 400,
         "Percent of the time left in which a first event must be foreseen." },
-    policy_setting { "idle-reading-ms", &dispatch_policy::idle_reading_ms, plain, 10000,
+    policy_setting { "idle-reading-ms", &dispatch_policy::idle_reading_ms, unscaled, 10000,
         "An engine with so little to read takes any prompt." },
     policy_setting { "reading-weight", &dispatch_policy::reading_weight, percent, 10000,
         "What reading shared parts anew costs, in percent of the time that it takes." },
@@ -51,9 +51,9 @@
         "The same where nothing is scarce." },
     policy_setting { "spread-of-error", &dispatch_policy::spread_of_error, percent, 10000,
         "Spread of each router's choices among like engines, in percent of the usual error of a forecast." },
-    policy_setting { "placement-spread-ms", &dispatch_policy::placement_spread_ms, plain, 10000,
+    policy_setting { "placement-spread-ms", &dispatch_policy::placement_spread_ms, unscaled, 10000,
         "Spread of first places of shared parts over the endpoints." },
-    policy_setting { "other-domain-ms", &dispatch_policy::other_domain_ms, plain, 10000,
+    policy_setting { "other-domain-ms", &dispatch_policy::other_domain_ms, unscaled, 10000,
         "What an endpoint in another failure domain costs in a choice." },
     policy_setting { "wait-plain", &dispatch_policy::wait_plain, percent, 400,
         "Longest wait at a router for a plain service, in percent of the objective." },
@@ -63,33 +63,33 @@
         "Percent of the objective after which a caller that found no place may come back; 0: as late as others." },
     policy_setting { "memory-filled", &dispatch_policy::memory_filled, percent, 10000,
         "Percent of an engine's memory up to which requests are sent there." },
-    policy_setting { "full-endpoint-ms", &dispatch_policy::full_endpoint_ms, plain, 10000,
+    policy_setting { "full-endpoint-ms", &dispatch_policy::full_endpoint_ms, unscaled, 10000,
         "What a full endpoint costs above an empty one in a choice." },
 };
 
-constexpr char const* keeping_time = "keeping-time-ms";
-constexpr std::int64_t longest_keeping_time = 600000;
+constexpr char const* cache_lifetime_setting = "keeping-time-ms";
+constexpr std::int64_t max_cache_lifetime_ms = 600000;
 
 } // namespace
 
 void describe_policy(settings::setting_table& table)
 {
-    dispatch_policy const usual;
-    for (auto const& setting : described) {
-        auto const fallback = std::llround(usual.*setting.member / setting.unit);
-        table.add_number(setting.name, fallback, 0, setting.most, std::string("Platform: ") + setting.help);
+    dispatch_policy const defaults;
+    for (auto const& setting : policy_settings) {
+        auto const fallback = std::llround(defaults.*setting.member / setting.scale);
+        table.add_number(setting.name, fallback, 0, setting.max, std::string("Platform: ") + setting.help);
     }
-    table.add_number(keeping_time, usual.keeping_time.count(), 0, longest_keeping_time,
+    table.add_number(cache_lifetime_setting, defaults.keeping_time.count(), 0, max_cache_lifetime_ms,
         "Platform: how long a shared part that is not asked for is thought to be kept.");
 }
 
 dispatch_policy read_policy(settings::setting_values const& values)
 {
-    dispatch_policy made;
-    for (auto const& setting : described)
-        made.*setting.member = static_cast<double>(values.number(setting.name)) * setting.unit;
-    made.keeping_time = milliseconds(values.number(keeping_time));
-    return made;
+    dispatch_policy policy;
+    for (auto const& setting : policy_settings)
+        policy.*setting.member = static_cast<double>(values.number(setting.name)) * setting.scale;
+    policy.keeping_time = milliseconds(values.number(cache_lifetime_setting));
+    return policy;
 }
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/process.cpp
+++ b/services/shedhilld/process.cpp
@@ -54,9 +54,9 @@
     m_signals.async_wait([this](boost::system::error_code failure, int) {
         if (failure)
             return;
-        if (m_was_signalled)
+        if (m_is_draining)
             std::_Exit(EXIT_FAILURE);
-        m_was_signalled = true;
+        m_is_draining = true;
         m_on_drain();
         wait_for_signal();
     });
@@ -81,7 +81,7 @@
         response.status = 503;
         response.body = "not ready\n";
     } else if (target == "/metrics") {
-        measure_process();
+        update_process_gauges();
         response.body = m_metrics.to_text();
     } else if (target != "/healthz" && target != "/readyz") {
         response.status = 404;
@@ -91,7 +91,7 @@
     (void)exchange.respond(response);
 }
 
-void process::measure_process()
+void process::update_process_gauges()
 {
     rusage used {};
     getrusage(RUSAGE_SELF, &used);
--- a/services/shedhilld/process.h
+++ b/services/shedhilld/process.h
@@ -41,7 +41,7 @@
     void wait_for_signal();
     void wait_for_tick(milliseconds interval, std::shared_ptr<std::function<void()>> const& on_tick);
     void serve_admin(net::http_exchange& exchange);
-    void measure_process();
+    void update_process_gauges();
 
     boot_clock::time_point m_started_at;
     std::mt19937_64 m_random;
@@ -52,7 +52,7 @@
     std::function<void()> m_on_drain;
     std::unique_ptr<net::http_server> m_admin;
     bool m_is_ready { false };
-    bool m_was_signalled { false };
+    bool m_is_draining { false };
 };
 
 } // namespace shedhill::daemon
--- /dev/null
+++ b/services/shedhilld/published_documents.cpp
@@ -0,0 +1,60 @@
+// SPDX-License-Identifier: BSD-2-Clause
+// One state for each kind of document.
+#include "services/shedhilld/published_documents.h"
+
+#include <algorithm>
+
+namespace shedhill::daemon {
+
+namespace {
+
+constexpr milliseconds request_interval { 400 };
+
+} // namespace
+
+void published_documents::record_confirmed(document_kind kind, instant at)
+{
+    auto& state = state_of(kind);
+    state.confirmed_at = std::max(state.confirmed_at, at);
+}
+
+void published_documents::record_version(document_kind kind, std::uint64_t reported, std::uint64_t own, instant now)
+{
+    auto& state = state_of(kind);
+    if (reported <= own || state.newer_version > own)
+        return;
+    state.newer_version = reported;
+    state.newer_version_seen_at = now;
+}
+
+milliseconds published_documents::time_behind(document_kind kind, std::uint64_t own, instant now) const
+{
+    auto const& state = state_of(kind);
+    return state.newer_version > own ? now - state.newer_version_seen_at : milliseconds(0);
+}
+
+bool published_documents::try_request(document_kind kind, vm_name const& router, instant confirmed_at, instant now)
+{
+    auto& state = state_of(kind);
+    if (now < state.next_request_at)
+        return false;
+    state.next_request_at = now + request_interval;
+    state.requested_router = router;
+    state.requested_confirmed_at = confirmed_at;
+    return true;
+}
+
+std::string const& published_documents::frame_for(
+    peering::document_wanted const& request, dispatch::table_follower const& table)
+{
+    auto& state = state_of(request.kind);
+    auto const version = table.changed_version();
+    if (state.frame_version == version && state.frame_since == request.since)
+        return state.frame;
+    state.frame = peering::encode_frame(peering::document_message { request.kind, table.rows_since(request.since) });
+    state.frame_version = version;
+    state.frame_since = request.since;
+    return state.frame;
+}
+
+} // namespace shedhill::daemon
--- a/services/shedhilld/told_documents.h
+++ b/services/shedhilld/published_documents.h
@@ -11,39 +11,42 @@
 
 namespace shedhill::daemon {
 
-class told_documents {
+class published_documents {
 public:
     using document_kind = peering::document_kind;
 
     // The store has confirmed to another router the version that is known here.
-    void note_confirmed(document_kind kind, instant at);
+    void record_confirmed(document_kind kind, instant at);
     [[nodiscard]] instant confirmed_at(document_kind kind) const { return state_of(kind).confirmed_at; }
 
     // Another router knows this version of the document; this one has its own.
-    void note_version(document_kind kind, std::uint64_t told, std::uint64_t own, instant now);
+    void record_version(document_kind kind, std::uint64_t reported, std::uint64_t own, instant now);
     // For how long another router is known to have a later version than the own one.
-    [[nodiscard]] milliseconds behind_for(document_kind kind, std::uint64_t own, instant now) const;
+    [[nodiscard]] milliseconds time_behind(document_kind kind, std::uint64_t own, instant now) const;
 
     // Whether a later version may be asked for now; if so, it counts as asked for, of a router to which the store
     // confirmed it then.
-    [[nodiscard]] bool try_to_ask(document_kind kind, vm_name const& router, instant confirmed_at, instant now);
+    [[nodiscard]] bool try_request(document_kind kind, vm_name const& router, instant confirmed_at, instant now);
     // Who was asked last, and when the store had confirmed the document to it.
-    [[nodiscard]] vm_name const& asked_router(document_kind kind) const { return state_of(kind).asked_router; }
-    [[nodiscard]] instant asked_confirmed_at(document_kind kind) const { return state_of(kind).asked_confirmed_at; }
+    [[nodiscard]] vm_name const& requested_router(document_kind kind) const { return state_of(kind).requested_router; }
+    [[nodiscard]] instant requested_confirmed_at(document_kind kind) const
+    {
+        return state_of(kind).requested_confirmed_at;
+    }
 
     // The frame that passes on what the asking router needs of the table.
     [[nodiscard]] std::string const& frame_for(
-        peering::document_wanted const& wanted, dispatch::table_follower const& table);
+        peering::document_wanted const& request, dispatch::table_follower const& table);
 
 private:
     struct document_state {
         instant confirmed_at {};
-        instant ask_again_at {};
+        instant next_request_at {};
         // The first later version that another router told, since the own one was as late; and when.
-        std::uint64_t later_version { 0 };
-        instant later_told_at {};
-        vm_name asked_router;
-        instant asked_confirmed_at {};
+        std::uint64_t newer_version { 0 };
+        instant newer_version_seen_at {};
+        vm_name requested_router;
+        instant requested_confirmed_at {};
         // Of what the frame holds, and since when it tells the changes.
         std::uint64_t frame_version { 0 };
         std::uint64_t frame_since { 0 };
--- a/services/shedhilld/router_daemon.cpp
+++ b/services/shedhilld/router_daemon.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr milliseconds tick_interval { 50 };
-constexpr std::chrono::milliseconds connect_limit { 2000 };
+constexpr std::chrono::milliseconds connect_timeout { 2000 };
 // What may wait for a caller that reads slowly.
-constexpr std::size_t most_queued_bytes = std::size_t { 4 } << 20;
+constexpr std::size_t max_queued_bytes = std::size_t { 4 } << 20;
 
 std::vector<net::http_header> outcome_headers(wire::run_outcome outcome, wire::reason why)
 {
@@ -83,7 +83,7 @@
 
 void router_daemon::carry_out(router::effect& effect)
 {
-    std::visit([this](auto& done) { run(done); }, effect);
+    std::visit([this](auto& effect_body) { run(effect_body); }, effect);
 }
 
 void router_daemon::run(router::answer_whole& effect)
@@ -229,16 +229,16 @@
         (void)exchange.respond(refusal);
         return;
     }
-    auto waiting = std::make_shared<caller>();
-    waiting->arrived_at = m_host.now();
-    m_callers[number] = waiting;
-    exchange.watch_caller([this, number, waiting] {
-        waiting->has_gone = true;
-        waiting->changed.set();
+    auto pending_caller = std::make_shared<caller>();
+    pending_caller->arrived_at = m_host.now();
+    m_callers[number] = pending_caller;
+    exchange.watch_caller([this, number, pending_caller] {
+        pending_caller->is_gone = true;
+        pending_caller->changed.set();
         post(router::caller_gone { number });
     });
     post(std::move(*parsed));
-    if (!deliver(exchange, *waiting)) {
+    if (!deliver(exchange, *pending_caller)) {
         exchange.abort_stream();
         post(router::caller_gone { number });
     }
@@ -246,24 +246,24 @@
 }
 
 // Whether the caller got a final answer.
-bool router_daemon::deliver(net::http_exchange& exchange, caller& waiting)
+bool router_daemon::deliver(net::http_exchange& exchange, caller& pending_caller)
 {
     while (true) {
-        while (waiting.answers.empty() && !waiting.has_gone) {
-            waiting.changed.wait();
-            waiting.changed.reset();
+        while (pending_caller.answers.empty() && !pending_caller.is_gone) {
+            pending_caller.changed.wait();
+            pending_caller.changed.reset();
         }
-        if (waiting.has_gone)
+        if (pending_caller.is_gone)
             return false;
-        auto answer = std::move(waiting.answers.front());
-        waiting.answers.pop_front();
+        auto answer = std::move(pending_caller.answers.front());
+        pending_caller.answers.pop_front();
         if (auto const* whole = std::get_if<router::answer_whole>(&answer))
             return exchange.respond(to_response(*whole)).has_value();
         if (auto const* start = std::get_if<router::answer_start>(&answer)) {
             if (!exchange.start_stream(start->status, start->content_type, {}))
                 return false;
         } else if (auto const* chunk = std::get_if<router::answer_chunk>(&answer)) {
-            waiting.queued_bytes -= chunk->data.size();
+            pending_caller.queued_bytes -= chunk->data.size();
             if (!exchange.write_chunk(chunk->data))
                 return false;
         } else if (auto const* end = std::get_if<router::answer_end>(&answer)) {
@@ -282,33 +282,33 @@
     auto const found = m_callers.find(number);
     if (found == m_callers.end())
         return;
-    auto& waiting = *found->second;
-    if (waiting.has_gone)
+    auto& pending_caller = *found->second;
+    if (pending_caller.is_gone)
         return;
     if (std::holds_alternative<router::answer_start>(answer))
         m_host.metrics().observe(
-            "shedhill_first_chunk_ms", static_cast<double>((m_host.now() - waiting.arrived_at).count()));
+            "shedhill_first_chunk_ms", static_cast<double>((m_host.now() - pending_caller.arrived_at).count()));
     if (std::holds_alternative<router::answer_chunk>(answer)) {
-        if (waiting.last_chunk_at != instant())
-            m_host.metrics().observe(
-                "shedhill_between_chunks_ms", static_cast<double>((m_host.now() - waiting.last_chunk_at).count()));
-        waiting.last_chunk_at = m_host.now();
+        if (pending_caller.last_chunk_at != instant())
+            m_host.metrics().observe("shedhill_between_chunks_ms",
+                static_cast<double>((m_host.now() - pending_caller.last_chunk_at).count()));
+        pending_caller.last_chunk_at = m_host.now();
     }
-    waiting.queued_bytes += bytes;
-    waiting.answers.push_back(std::move(answer));
-    if (waiting.queued_bytes > most_queued_bytes + bytes) {
+    pending_caller.queued_bytes += bytes;
+    pending_caller.answers.push_back(std::move(answer));
+    if (pending_caller.queued_bytes > max_queued_bytes + bytes) {
         // The caller's fiber may be in a write that does not end for long: nothing more is kept for it meanwhile.
-        waiting.has_gone = true;
-        waiting.answers.clear();
+        pending_caller.is_gone = true;
+        pending_caller.answers.clear();
         m_host.metrics().add("shedhill_slow_callers_total");
         net::start_fiber([this, number] { post(router::caller_gone { number }); });
     }
-    waiting.changed.set();
+    pending_caller.changed.set();
 }
 
 void router_daemon::connect(vm_name const& vm, std::string const& address)
 {
-    auto connection = net::connect_frames(address, connect_limit);
+    auto connection = net::connect_frames(address, connect_timeout);
     if (!connection) {
         m_host.metrics().add("shedhill_connect_failures_total");
         post(router::connect_failed { vm });
@@ -349,10 +349,10 @@
 void router_daemon::finish_stopping()
 {
     constexpr std::chrono::milliseconds pause { 20 };
-    constexpr int most_pauses = 250;
+    constexpr int max_pauses = 250;
     m_http->close();
     m_frames->close();
-    for (int waited = 0; !m_callers.empty() && waited < most_pauses; ++waited)
+    for (int waited = 0; !m_callers.empty() && waited < max_pauses; ++waited)
         boost::this_fiber::sleep_for(pause);
     m_host.stop();
 }
--- a/services/shedhilld/router_daemon.h
+++ b/services/shedhilld/router_daemon.h
@@ -41,7 +41,7 @@
         instant arrived_at {};
         instant last_chunk_at {};
         // The connection is closed, or the caller reads too slowly to be waited for.
-        bool has_gone { false };
+        bool is_gone { false };
     };
 
     void post(router::event_body body);
@@ -68,7 +68,7 @@
     void run(router::log_line& effect);
 
     void serve_caller(net::http_exchange& exchange);
-    bool deliver(net::http_exchange& exchange, caller& waiting);
+    bool deliver(net::http_exchange& exchange, caller& pending_caller);
     void queue_answer(request_number number, router::effect answer, std::size_t bytes);
     void connect(vm_name const& vm, std::string const& address);
     void serve_connection(
--- a/services/shedhilld/router_gauges.cpp
+++ b/services/shedhilld/router_gauges.cpp
@@ -50,8 +50,8 @@
 
 void set_peer_gauges(metrics::registry& registry, relay::peer_traffic const& traffic)
 {
-    auto const set = [&](char const* way, relay::traffic_kind kind, relay::traffic_count const& count) {
-        auto const labels = "{way=\"" + std::string(way) + "\",kind=\"" + std::string(name_of(kind)) + "\"}";
+    auto const set = [&](char const* direction, relay::traffic_kind kind, relay::traffic_count const& count) {
+        auto const labels = "{way=\"" + std::string(direction) + "\",kind=\"" + std::string(name_of(kind)) + "\"}";
         registry.set("shedhill_peer_messages" + labels, static_cast<double>(count.messages));
         registry.set("shedhill_peer_bytes" + labels, static_cast<double>(count.bytes));
     };
--- a/services/shedhilld/routers_table.h
+++ b/services/shedhilld/routers_table.h
@@ -33,8 +33,9 @@
         , m_directory(directory)
         , m_on_failed(std::move(on_failed))
         , m_on_quarantined(std::move(on_quarantined))
-        , m_rows(loop, settings.store_address, relay::table_name::routers, followers, [this] { take_rows(); })
-        , m_writer(loop, settings.store_address, [this](unsigned status, std::string const&) { take_written(status); })
+        , m_rows(loop, settings.store_address, relay::table_name::routers, followers, [this] { apply_rows(); })
+        , m_writer(loop, settings.store_address,
+              [this](unsigned status, std::string const&) { handle_write_result(status); })
     {
     }
 
@@ -45,14 +46,14 @@
     }
 
     // One call at a time. Only who follows the rows sees whether one was removed already.
-    void keep_rows(bool is_following, instant now)
+    void maintain_rows(bool is_watching_store, instant now)
     {
-        if (m_writer.is_calling() || now < m_write_again_at || !m_rows.follower().has_rows())
+        if (m_writer.is_calling() || now < m_next_write_at || !m_rows.follower().has_rows())
             return;
         if (is_own_row_missing())
             write_own_row(now);
-        else if (is_following)
-            remove_dead_row(now);
+        else if (is_watching_store)
+            remove_stale_row(now);
     }
 
     // What the own row is to keep.
@@ -67,9 +68,9 @@
 
 private:
     static constexpr milliseconds write_interval { 1500 };
-    static constexpr milliseconds write_limit { 1200 };
+    static constexpr milliseconds write_timeout { 1200 };
 
-    void take_rows()
+    void apply_rows()
     {
         std::map<std::string, peering::fleet_member> members;
         for (auto const& [key, row] : m_rows.follower().rows()) {
@@ -85,55 +86,55 @@
     {
         if (m_is_leaving)
             return false;
-        if (m_written_text && *m_written_text != own_text())
+        if (m_written_text && *m_written_text != own_row_text())
             return true;
         // Rows that were read before the last write do not show it: a router that does not follow them would write on.
         if (m_rows.follower().confirmed_at() <= m_written_at)
             return false;
         auto const& rows = m_rows.follower().rows();
         auto const own = rows.find(m_settings.vm.value());
-        return own == rows.end() || own->second.value != own_text();
+        return own == rows.end() || own->second.value != own_row_text();
     }
 
-    [[nodiscard]] std::string own_text() const
+    [[nodiscard]] std::string own_row_text() const
     {
         return peering::to_text(peering::router_row { m_directory.self(), m_quarantined });
     }
 
     void write_own_row(instant now)
     {
-        m_write_again_at = now + write_interval;
-        m_text_under_way = own_text();
-        m_quarantines_under_way = m_quarantined.size();
+        m_next_write_at = now + write_interval;
+        m_text_in_flight = own_row_text();
+        m_quarantines_in_flight = m_quarantined.size();
         m_writer.start(TableBinding::put_call(m_settings.store_address, relay::table_name::routers,
-                           m_settings.vm.value(), *m_text_under_way),
-            write_limit);
+                           m_settings.vm.value(), *m_text_in_flight),
+            write_timeout);
     }
 
-    void remove_dead_row(instant now)
+    void remove_stale_row(instant now)
     {
         auto const& rows = m_rows.follower().rows();
-        for (auto const& dead : m_directory.rows_of_the_dead(now)) {
-            auto const row = rows.find(dead);
+        for (auto const& stale : m_directory.rows_of_the_dead(now)) {
+            auto const row = rows.find(stale);
             if (row == rows.end())
                 continue;
-            m_write_again_at = now + write_interval;
+            m_next_write_at = now + write_interval;
             return m_writer.start(TableBinding::remove_call(
-                                      m_settings.store_address, relay::table_name::routers, dead, row->second.version),
-                write_limit);
+                                      m_settings.store_address, relay::table_name::routers, stale, row->second.version),
+                write_timeout);
         }
     }
 
-    void take_written(unsigned status)
+    void handle_write_result(unsigned status)
     {
-        auto const text = std::exchange(m_text_under_way, std::nullopt);
+        auto const text = std::exchange(m_text_in_flight, std::nullopt);
         if (status == 0 || TableBinding::verdict_of(status) == relay::store_verdict::failed)
             return m_on_failed();
         m_written_at = m_loop.now();
         if (!text)
             return;
         m_written_text = text;
-        m_stored_quarantines = m_quarantines_under_way;
+        m_stored_quarantines = m_quarantines_in_flight;
     }
 
     relay::event_loop& m_loop;
@@ -147,13 +148,13 @@
     bool m_has_read_own_row { false };
     std::vector<dispatch::crash_record> m_quarantined;
     // Of the own row: as it is being written, and as a write of it was last confirmed in this life.
-    std::optional<std::string> m_text_under_way;
+    std::optional<std::string> m_text_in_flight;
     std::optional<std::string> m_written_text;
-    std::size_t m_quarantines_under_way { 0 };
+    std::size_t m_quarantines_in_flight { 0 };
     std::size_t m_stored_quarantines { 0 };
     // When a write, of the own row or of one that was removed, was last confirmed.
     instant m_written_at {};
-    instant m_write_again_at {};
+    instant m_next_write_at {};
 };
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/store_lines.h
+++ b/services/shedhilld/store_log_lines.h
@@ -10,7 +10,7 @@
 
 namespace shedhill::daemon {
 
-struct store_line {
+struct store_log_line {
     logging::event_level level { logging::event_level::warning };
     // The event's stable name.
     std::string event;
@@ -18,8 +18,8 @@
 };
 
 // None for what is counted only: each call that is answered.
-[[nodiscard]] std::optional<store_line> line_of(dispatch::store_note const& note);
+[[nodiscard]] std::optional<store_log_line> log_line_of(dispatch::store_note const& event);
 // The counter of a call that has ended; none for what is no call's end.
-[[nodiscard]] std::optional<std::string> counter_of(dispatch::store_note const& note);
+[[nodiscard]] std::optional<std::string> call_counter_of(dispatch::store_note const& event);
 
 } // namespace shedhill::daemon
