--- a/services/shedhilld/caller_table.cpp
+++ b/services/shedhilld/caller_table.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Looks through all connections; whoever is closed may leave the table on the way, so it is a copy that is gone
-// through.
+// Visits all connections. The loops that close connections run over a copy, because a connection that closes may leave
+// the table.
 #include "services/shedhilld/caller_table.h"
 
 #include "libraries/relay/slow_readers.h"
@@ -40,7 +40,7 @@
 {
     auto const callers = m_callers;
     for (auto const& [number, caller] : callers) {
-        // An answer of this very round is not written yet.
+        // An answer of this round is not written yet, so the connection closes only once it is.
         if (!caller->has_begun_request())
             caller->let_go();
     }
--- a/services/shedhilld/caller_table.h
+++ b/services/shedhilld/caller_table.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The connections of callers: who has rested too long, who reads too slowly, and whom a stop lets go.
+// Holds the connections of callers. Closes those that are idle for too long or read too slowly, and releases callers
+// when the router stops.
 #pragma once
 
 #include "libraries/dispatch/types.h"
@@ -21,21 +22,22 @@
     }
 
     void accept(int descriptor, relay::caller_listener& listener, dispatch::caller_limits const& limits);
-    // Its connection may be on the stack: it goes at the end of the round.
+    // Removes the caller at the end of the round, because its connection may be on the stack.
     void remove_later(std::uint64_t number);
     [[nodiscard]] std::size_t size() const { return m_callers.size(); }
 
-    // Closes those who have rested, or taken for a request's head, longer than they may.
+    // Closes the callers that have been idle, or have taken for a request's head, longer than the limits allow.
     void close_timed_out(dispatch::caller_limits const& limits, instant now);
-    // Lets all go who are not in the middle of a request.
+    // Releases all callers that are not sending a request.
     void close_idle();
     [[nodiscard]] bool has_unfinished_exchange() const;
 
-    // A caller that was ended because it read too slowly.
+    // Describes a caller that was disconnected because it read too slowly.
     struct disconnected_reader {
+        // Bytes of answers that it had not read.
         std::size_t unread { 0 };
     };
-    // Ends the slowest readers until what is held for peers is within its limit.
+    // Disconnects the callers with the most unread bytes until the bytes buffered for peers are within their limit.
     std::vector<disconnected_reader> disconnect_slow_readers();
 
 private:
--- a/services/shedhilld/counter_names.cpp
+++ b/services/shedhilld/counter_names.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One counter for each kind, and for each reason where there is one.
+// Names one counter for each kind of event, with its reason where it has one, and one histogram for each kind of time
+// and pool.
 #include "services/shedhilld/counter_names.h"
 
 namespace shedhill::daemon {
--- a/services/shedhilld/counter_names.h
+++ b/services/shedhilld/counter_names.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The names under which the dispatcher's counts and times are served.
+// Names the metrics in which the dispatcher's counts and times are served.
 #pragma once
 
 #include "libraries/dispatch/effects.h"
@@ -8,8 +8,9 @@
 
 namespace shedhill::daemon {
 
+// Returns the counter that the event is counted in.
 std::string counter_name(dispatch::count_event const& event);
-// The histogram that the time counts into.
+// Returns the histogram that the time is counted in.
 std::string histogram_name(dispatch::time_event const& measured);
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/endpoint_connections.cpp
+++ b/services/shedhilld/endpoint_connections.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Idle connections by start.
+// Reuses the connection that was used last.
 #include "services/shedhilld/endpoint_connections.h"
 
 namespace shedhill::daemon {
 
 namespace {
 
+// A connection counts as fresh if it has been idle for at most this time.
 constexpr milliseconds max_fresh_idle_time { 600 };
 
 } // namespace
--- a/services/shedhilld/endpoint_connections.h
+++ b/services/shedhilld/endpoint_connections.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Kept connections to endpoints. They belong to one start of an endpoint, so that an address that was taken over
-// by another endpoint never gets a connection of the one before.
+// Keeps idle connections to endpoints for later requests. A connection belongs to one instance of an endpoint, so an
+// endpoint that takes over an address never gets a connection of its predecessor.
 #pragma once
 
 #include "libraries/dispatch/effects.h"
@@ -19,16 +19,16 @@
     {
     }
 
-    // A kept connection that suits, or a new one.
+    // Returns an idle connection that suits the choice, or a new one.
     std::shared_ptr<relay::call_connection> take(
         endpoint_key instance, dispatch::connection_choice choice, instant now);
     void add_idle(endpoint_key instance, std::shared_ptr<relay::call_connection> connection);
-    // Closes those that the endpoint will not keep much longer.
+    // Closes the connections that the endpoint is expected to close soon.
     void close_expired(instant now);
 
 private:
     relay::event_loop& m_loop;
-    // The one used last stands at the end.
+    // The connections of each instance, in the order of their last use.
     std::unordered_map<endpoint_key, std::vector<std::shared_ptr<relay::call_connection>>> m_idle;
 };
 
--- a/services/shedhilld/endpoint_daemon.cpp
+++ b/services/shedhilld/endpoint_daemon.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The interpreter of an endpoint process's effects. No decision is made here.
+// Interprets the effects of an endpoint process. The reducer makes all decisions.
 #include "services/shedhilld/endpoint_daemon.h"
 
 #include "libraries/endpoint/service_meter.h"
@@ -143,7 +143,7 @@
     post(endpoint::engine_ended { number, to_engine_end(ended), meter.service() });
 }
 
-// Lets the last messages reach their routers.
+// Waits up to 2 s until the last messages are written to the routers, then stops the process.
 void endpoint_daemon::finish_stopping()
 {
     constexpr std::chrono::milliseconds pause { 20 };
--- a/services/shedhilld/endpoint_daemon.h
+++ b/services/shedhilld/endpoint_daemon.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Carries out an endpoint process's effects: routers over frames, the engine or service beside it over HTTP.
+// Executes the effects of an endpoint process: it exchanges frames with routers and calls the engine or service beside
+// it over HTTP.
 #pragma once
 
 #include "libraries/endpoint/endpoint_reducer.h"
@@ -45,7 +46,7 @@
     std::map<connection_id, std::shared_ptr<net::frame_connection>> m_connections;
     std::map<endpoint::call_number, std::shared_ptr<net::http_call>> m_calls;
     std::unique_ptr<net::frame_listener> m_frames;
-    // The latest revision that any router has shown; told to those that connect.
+    // The newest revision that any router has sent. The handshake passes it to routers that connect.
     revision m_revision {};
     std::uint64_t m_last_connection { 0 };
 };
--- a/services/shedhilld/endpoint_rows.h
+++ b/services/shedhilld/endpoint_rows.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Reads the rows of the list of endpoints. A row that has not changed is not read again: a list of thousands changes a
-// few rows at a time.
+// Parses the rows of the endpoint list. A row that has not changed is not parsed again: a list of thousands of rows
+// changes a few at a time.
 #pragma once
 
 #include "libraries/dispatch/store/table_follower.h"
@@ -15,7 +15,7 @@
 
 namespace shedhill::daemon {
 
-// A row that names no endpoint: a field is missing or of another type, or its bytes cannot be read.
+// A row that describes no endpoint: a field is missing or of another type, or the value cannot be decoded.
 struct refused_row {
     std::string key;
     std::string reason;
@@ -26,7 +26,7 @@
 public:
     using rows = std::map<std::string, dispatch::table_follower::row>;
 
-    // The entries of all rows that can be read.
+    // Returns the entries of all rows that can be parsed.
     [[nodiscard]] std::vector<dispatch::endpoint_entry> read(rows const& table_rows)
     {
         std::vector<dispatch::endpoint_entry> entries;
@@ -40,13 +40,13 @@
         return entries;
     }
 
-    // Rows that were refused since the last call.
+    // Returns the rows that were refused since the last call.
     [[nodiscard]] std::vector<refused_row> take_refused() { return std::exchange(m_refused, {}); }
 
 private:
     struct parsed_row {
         std::uint64_t version { 0 };
-        // None where the row cannot be read.
+        // Empty if the row cannot be parsed.
         std::optional<dispatch::endpoint_entry> entry;
     };
 
--- a/services/shedhilld/exchange_table.h
+++ b/services/shedhilld/exchange_table.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The exchanges that are open at a router, and whose request each caller's connection waits for.
+// Holds the open exchanges of a router, and the request that each caller's connection waits for.
 #pragma once
 
 #include "base/identifiers.h"
@@ -29,7 +29,8 @@
         return found == m_exchanges.end() ? nullptr : found->second.get();
     }
 
-    // The caller waits for nothing any more. The request that it waited for, if any; that exchange is over.
+    // Removes a caller that has gone. Returns the request that it waited for, if any; the exchange of that request is
+    // finished.
     std::optional<request_number> remove_caller(caller_number caller)
     {
         auto const found = m_request_of_caller.find(caller);
@@ -41,7 +42,7 @@
         return request;
     }
 
-    // The exchange may be on the stack now: it goes with the next call of remove_finished().
+    // Marks the exchange as finished. It may be on the stack now, so the next call of remove_finished() removes it.
     void mark_finished(request_number request) { m_finished.push_back(request); }
 
     void remove_finished()
--- a/services/shedhilld/fleet_reports.h
+++ b/services/shedhilld/fleet_reports.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What routers tell each other: to those of the same failure domain each router what it does by itself, to other
-// failure domains one router the sums of its own, which whoever is told passes on to its neighbours. So a message a
-// router and tenth of a second crosses between two failure domains, however many routers there are.
+// Exchanges reports between routers. Each router sends its own report to the routers of its failure domain. One router
+// of each failure domain, its delegate, sends the domain's sums to the other failure domains, and the router that
+// receives them forwards them to the routers of its own domain. So one message in a tenth of a second crosses from one
+// failure domain to another, however many routers there are.
 #pragma once
 
 #include "libraries/dispatch/dispatch_reducer.h"
@@ -18,7 +19,7 @@
 
 namespace shedhill::daemon {
 
-// What the reports are made from, and who takes what others tell.
+// Requires of the owner of the reports that it provides what they are made from and handles what other routers send.
 template <typename Owner>
 concept reports_owner = requires(Owner& owner, peering::state_message& state, peering::document_message& document,
     peering::document_wanted const& request, dispatch::event_body event, std::string const& name, instant now)
@@ -63,7 +64,8 @@
 
     result<void> open() { return m_peers.open(); }
 
-    // Connects to whom it should, and tells what has changed. Whether it was time for that.
+    // If the report interval is over, connects to the routers that are due and sends reports. Returns whether it was
+    // over.
     bool tick(instant now, std::uint64_t draw)
     {
         if (now - m_reported_at < interval(directory().size()))
@@ -73,7 +75,7 @@
         for (auto skipped = m_peers.take_skipped(); skipped > 0; --skipped)
             m_owner.count("shedhill_skipped_peer_messages_total");
         auto const new_peers = m_peers.take_new();
-        // A new link asks at once.
+        // After a new link, this router asks at once to be connected to in return.
         if (!new_peers.empty())
             m_links_requested_at = {};
         send_own_report(new_peers, now);
@@ -96,19 +98,20 @@
     [[nodiscard]] peering::fleet_member const& self() { return m_peers.directory().self(); }
     [[nodiscard]] relay::peer_traffic const& traffic() const { return m_peers.traffic(); }
     [[nodiscard]] std::uint16_t port() const { return m_peers.port(); }
-    // Whether this router exchanges sums with other failure domains.
+    // Returns whether this router exchanges its failure domain's sums with other failure domains.
     [[nodiscard]] bool is_domain_delegate() const { return m_is_domain_delegate; }
 
 private:
-    // How often the whole is told, and the routers that are known.
+    // How often a router sends a full report to the routers of its failure domain.
     static constexpr milliseconds full_report_interval { 1000 };
-    // Connections lose nothing but to a reader that is far behind. A whole sum of 3,000 endpoints has 72 kB.
+    // The same for the sums of a failure domain. It is longer, because full sums of 3,000 endpoints take 72 kB and a
+    // connection loses messages only if its reader is far behind.
     static constexpr milliseconds full_domain_report_interval { 5000 };
-    // Beginning with the first tick that finds a new link.
+    // How often this router asks others to connect to it. A tick that finds a new link starts the interval.
     static constexpr milliseconds link_request_interval { 1000 };
 
-    // What others have sent in the last moments is what a choice knows least of, so a small fleet tells more often;
-    // each message costs a few system calls at both ends.
+    // Returns the time between two reports. A choice knows least about what other routers have sent in the last
+    // moments, so a small fleet reports more often. Each message costs a few system calls at both ends.
     static milliseconds interval(std::size_t routers)
     {
         constexpr std::int64_t messages_per_second = 300;
@@ -149,18 +152,18 @@
             m_peers.tell(address, frame, relay::traffic_kind::documents);
     }
 
-    // Most messages hold only what changed. Once in a while, and when a router is new, the whole is told, so that a
-    // lost message does no lasting harm.
+    // Sends this router's own report. Most reports hold only what changed. A full report follows once in a while, and
+    // when a router is new, so that a lost message does no lasting harm.
     void send_own_report(std::vector<std::string> const& new_peers, instant now)
     {
         bool const is_new = has_new_peer(new_peers, true);
-        bool const is_whole = is_new || now - m_full_report_at >= full_report_interval;
+        bool const is_full = is_new || now - m_full_report_at >= full_report_interval;
         auto report = m_owner.reducer().take_own_report(
-            is_whole ? dispatch::report_scope::whole : dispatch::report_scope::changes, now);
+            is_full ? dispatch::report_scope::whole : dispatch::report_scope::changes, now);
         if (m_peers.listeners() == 0)
             return;
         auto state = make_state_message(std::move(report), now);
-        if (is_whole)
+        if (is_full)
             m_full_report_at = now;
         m_peers.tell_routers(peering::encode_frame(state), relay::traffic_kind::own_state);
         state.report.scope = dispatch::report_scope::changes;
@@ -172,8 +175,8 @@
         send_to_new_peers(new_peers, std::move(state), now);
     }
 
-    // Which routers there are is as long as the fleet, and hardly ever news: a few neighbours in turn are told. Told to
-    // all of them at once, it would grow with the fleet times the neighbours, and be most of what routers say.
+    // Sends the list of routers to a few routers of the failure domain in rotation. The list is as long as the fleet
+    // and rarely changes. Sent to all of them at once, it would be most of the traffic between routers.
     void send_members(peering::state_message const& state, instant now)
     {
         auto const due = m_peer_rotation.take_due(m_peers.linked_routers(), now);
@@ -184,7 +187,8 @@
             m_peers.tell(address, frame, relay::traffic_kind::own_state);
     }
 
-    // A router that has just come up learns which routers there are, and where parts of prompts are kept.
+    // Sends a router that has just connected the list of routers, the recently placed parts of prompts, and the crash
+    // records.
     void send_to_new_peers(std::vector<std::string> const& new_peers, peering::state_message state, instant now)
     {
         if (new_peers.empty())
@@ -201,12 +205,12 @@
     void send_domain_report(std::vector<std::string> const& new_peers, instant now)
     {
         bool const is_new = has_new_peer(new_peers, false);
-        bool const is_whole = is_new || now - m_full_domain_report_at >= full_domain_report_interval;
+        bool const is_full = is_new || now - m_full_domain_report_at >= full_domain_report_interval;
         auto state
             = make_state_message(m_owner.reducer().take_domain_report(
-                                     is_whole ? dispatch::report_scope::whole : dispatch::report_scope::changes, now),
+                                     is_full ? dispatch::report_scope::whole : dispatch::report_scope::changes, now),
                 now);
-        if (is_whole)
+        if (is_full)
             m_full_domain_report_at = now;
         if (is_new) {
             state.members = directory().members();
@@ -236,7 +240,8 @@
         m_owner.handle_event(std::move(state.report));
     }
 
-    // Sums that come from their own failure domain are passed on to the neighbours.
+    // Returns whether the sums are to be applied. Sums that arrive straight from their own failure domain are forwarded
+    // to the routers of this one.
     [[nodiscard]] bool accepts_sums(peering::state_message& state, instant now)
     {
         auto const& domain = state.report.domain;
--- a/services/shedhilld/fleet_view.h
+++ b/services/shedhilld/fleet_view.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a router learns from the store, or in its place from other routers: the configuration in force, the list of
-// endpoints, and who the other routers are. A few routers of each failure domain follow the store; the others learn
-// from them what has changed, and so does whoever cannot hear it.
+// Holds a router's view of the fleet: the configuration in force, the list of endpoints and the other routers. A few
+// routers of each failure domain watch the store; the others receive changes from them, and so does a watcher that
+// cannot reach the store.
 #pragma once
 
 #include "libraries/dispatch/dispatch_reducer.h"
@@ -25,7 +25,7 @@
 
 namespace shedhill::daemon {
 
-// What the router gives: it takes events, and keeps the log and the counters.
+// Requires of the router that owns a fleet_view that it handles dispatcher events, writes the log and counts metrics.
 template <typename Host>
 concept fleet_view_host
     = requires(Host& host, dispatch::event_body event, logging::event_level level, std::string const& text)
@@ -105,18 +105,20 @@
         }
     }
 
-    // The own row is not written again.
+    // Stops writing this router's row to the table of routers.
     void leave() { m_routers.leave(); }
 
     [[nodiscard]] std::string const& peer_address() { return m_reports.self().address; }
     [[nodiscard]] std::uint16_t peer_port() const { return m_reports.port(); }
-    // Since the store confirmed the document to this router, or to another one that told the same version.
+    // Returns the time since the store confirmed the configuration to this router, or to another router that reported
+    // the same version.
     [[nodiscard]] milliseconds configuration_age()
     {
         return m_loop.now()
             - std::max(m_configuration.follower().confirmed_at(),
                 m_published_documents.confirmed_at(document_kind::configuration));
     }
+    // Returns the same for the list of endpoints.
     [[nodiscard]] milliseconds endpoint_list_age()
     {
         return m_loop.now()
@@ -125,17 +127,18 @@
     }
 
     [[nodiscard]] relay::peer_traffic const& traffic() const { return m_reports.traffic(); }
-    // Quarantined requests in this router's row, as the store last confirmed it.
+    // Returns the number of quarantined requests in this router's row, as the store last confirmed it.
     [[nodiscard]] std::size_t stored_quarantines() const { return m_routers.stored_quarantines(); }
-    // Since the store last answered this router.
+    // Returns the time since the store last answered this router, for any table.
     [[nodiscard]] milliseconds time_since_store_answer() const { return m_loop.now() - m_watchers.answered_at(); }
 
-    // Whether this router follows the store, or learns from the neighbours that do.
+    // Returns whether this router watches the store. Otherwise it receives changes from the watchers of its failure
+    // domain.
     [[nodiscard]] bool is_watching_store() const { return m_is_watching_store; }
-    // Whether it exchanges sums with other failure domains.
+    // Returns whether this router exchanges its failure domain's sums with other failure domains.
     [[nodiscard]] bool is_domain_delegate() const { return m_reports.is_domain_delegate(); }
 
-    // What the reports between routers ask for and bring.
+    // The functions below are the owner interface that fleet_reports requires.
 
     [[nodiscard]] dispatch::dispatch_reducer& reducer() { return m_host.reducer(); }
     void handle_event(dispatch::event_body event) { m_host.handle_event(std::move(event)); }
@@ -173,7 +176,7 @@
 
     void handle(peering::document_message& document)
     {
-        // NOTE: A program of an earlier version tells the configuration as a text, which leaves the rows empty.
+        // NOTE: An earlier version of this program sends the configuration as a text, which leaves the rows empty.
         if (!document.rows.since && document.rows.rows.empty())
             return;
         auto& watcher = watcher_of(document.kind);
@@ -187,28 +190,32 @@
 private:
     using document_kind = peering::document_kind;
 
-    // What a peer knows is asked for once the store has not confirmed our own for so long; of the list, so long after
-    // its feed was due.
+    // A watcher requests a newer document from another router once the store has not confirmed its own copy for this
+    // time. For the endpoint list, the margin is added to the shortest time between two calls of its feed.
     static constexpr milliseconds configuration_staleness_limit { 900 };
     static constexpr milliseconds list_staleness_margin { 200 };
-    // A configuration that another failure domain has known for so long should have come from the store, or from a
-    // neighbour, by three reports of 100 ms.
+    // A configuration that another failure domain has held for this time, three report intervals of 100 ms, should have
+    // arrived from the store or from a router of the own failure domain.
     static constexpr milliseconds missed_configuration_delay { 300 };
-    // A router that has just started has not heard yet who follows the store. It reads it at once in any case.
+    // A router that has just started does not know yet which routers watch the store. It reads the tables immediately
+    // in any case.
     static constexpr milliseconds watch_start_delay { 800 };
-    // So long a router that has just started waits for the store itself before it asks other failure domains: 300
-    // routers that ask three seeds for a list of 450 kB fill their links. The store answers within 30 ms.
+    // A router that has just started waits this time for the store before it requests documents from other failure
+    // domains: 300 routers that request a list of 450 kB from three seeds saturate the seeds' links. The store answers
+    // within 30 ms.
     static constexpr milliseconds initial_store_read_time { 400 };
-    // Beyond its pace and the time that it is held, a feed's answer and the report that tells of it take so long.
+    // The time that a feed's answer and the report that mentions it take, beyond the time between two calls and the
+    // time that the store may hold a call.
     static constexpr milliseconds report_delay { 300 };
-    // The terms on which this router follows the store, or would if it were to.
-    [[nodiscard]] dispatch::follow_terms own_watch_terms(bool is_follower, instant now) const
+    // Returns the terms on which this router watches the store, or the terms that apply if it is not a watcher.
+    [[nodiscard]] dispatch::follow_terms own_watch_terms(bool is_watcher, instant now) const
     {
-        return dispatch::make_follow_terms({ m_settings.leaving_bound, is_follower, m_watch_assignment.is_shared(now),
+        return dispatch::make_follow_terms({ m_settings.leaving_bound, is_watcher, m_watch_assignment.is_shared(now),
             m_watch_assignment.is_among_the_first(now) });
     }
 
-    // A follower's confirmation of the list is never older, where all is well.
+    // Returns the greatest age that a watcher's last confirmation of the endpoint list has while the store answers in
+    // time.
     [[nodiscard]] milliseconds max_confirmation_age(instant now) const
     {
         auto const list = own_watch_terms(true, now).of(dispatch::table_name::endpoints);
@@ -227,7 +234,8 @@
         m_watchers.set_terms(own_watch_terms(m_is_watching_store, now), now);
     }
 
-    // From when on another router's later version is asked for.
+    // Returns the age of the store's last confirmation from which on this router requests a newer version from other
+    // routers.
     [[nodiscard]] milliseconds staleness_limit(document_kind kind) const
     {
         if (!m_is_watching_store)
@@ -237,7 +245,7 @@
             : dispatch::list_pace(m_settings.leaving_bound) + list_staleness_margin;
     }
 
-    // The store.
+    // The functions below apply what comes from the store, directly or through another router.
 
     void log_store_event(dispatch::store_note const& event)
     {
@@ -247,7 +255,7 @@
             m_host.log(line->level, line->event, line->fields);
     }
 
-    // Who told a document, and how old its confirmation was.
+    // Names the sender of a document, the store or another router, and the age of the store's confirmation there.
     struct document_source {
         std::string name;
         milliseconds age { 0 };
@@ -262,7 +270,7 @@
             apply_endpoint_rows();
     }
 
-    // What operators declare: the configuration, and the failure domains that they evacuate.
+    // Applies what operators declare: the configuration and the failure domains that they evacuate.
     void apply_configuration_rows(document_source const& source)
     {
         dispatch::domains_evacuated evacuated;
@@ -307,7 +315,7 @@
             m_host.handle_event(dispatch::endpoints_listed { m_roster.entries() });
     }
 
-    // Each version of a row is refused once, so that a row of another writer costs a line and no more.
+    // Each version of a row is refused once, so that a malformed row of another writer costs a single log line.
     void log_refused_rows(std::vector<refused_row> const& refused)
     {
         for (auto const& row : refused) {
@@ -324,7 +332,7 @@
             "lapsed_endpoints_kept", dispatch::log_fields().add("endpoints", m_roster.kept_count()).take());
     }
 
-    // Other routers.
+    // The functions below handle reports and requests of other routers.
 
     void update_router_list()
     {
@@ -357,15 +365,17 @@
 
     [[nodiscard]] std::uint64_t own_version(document_kind kind) { return watcher_of(kind).changed_version(); }
 
-    // Whether a later version that a neighbour knows is not asked for, because the store was heard here.
+    // Returns whether the store confirmed this router's copy so recently that a newer version at a router of the same
+    // failure domain is not requested.
     [[nodiscard]] bool is_up_to_date(document_kind kind, instant now)
     {
         return now - watcher_of(kind).confirmed_at() < staleness_limit(kind);
     }
 
-    // Whether one is not asked for that is known in another failure domain: there bytes are dear, and the neighbours
-    // have what the store tells. The list's confirmation says nothing of the configuration: what is known elsewhere of
-    // that for a while, and not here, was missed.
+    // Returns whether a newer version at a router of another failure domain is not requested, because it is still
+    // expected from the store or from a router of the own failure domain. Traffic between failure domains is expensive,
+    // and the routers of the own one have what the store publishes. A confirmation of the endpoint list says nothing
+    // about the configuration: a configuration that others have held for a while was missed here.
     [[nodiscard]] bool is_expected_from_own_domain(peering::document_version const& reported, instant now)
     {
         if (now - m_started_at < initial_store_read_time)
@@ -402,17 +412,18 @@
     relay::table_session<TableBinding> m_endpoints;
     routers_table<TableBinding> m_routers;
 
-    // Of the configuration's row that was read last.
+    // The version of the configuration's row that was applied last.
     std::uint64_t m_configuration_row_version { 0 };
     dispatch::endpoint_roster m_roster;
     dispatch::store_outage_watch m_outages;
     endpoint_rows<TableBinding> m_endpoint_rows;
     published_documents m_published_documents;
     std::vector<std::string> m_listed_routers;
-    // This router follows the store, or learns from the neighbours that do.
+    // This router watches the store. Otherwise it receives changes from the watchers of its failure domain.
     bool m_is_watching_store { false };
     instant m_started_at {};
-    // When the store last confirmed the list to a router of this failure domain, as it told.
+    // When the store last confirmed the endpoint list to another router of this failure domain, as that router
+    // reported.
     instant m_domain_confirmed_at {};
 };
 
--- a/services/shedhilld/log_levels.cpp
+++ b/services/shedhilld/log_levels.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One level for each severity.
+// Implements the mapping with one level for each severity.
 #include "services/shedhilld/log_levels.h"
 
 namespace shedhill::daemon {
--- a/services/shedhilld/log_levels.h
+++ b/services/shedhilld/log_levels.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The log's level of what the dispatcher writes.
+// Maps the severities of the dispatcher's log lines to levels of the log.
 #pragma once
 
 #include "libraries/dispatch/effects.h"
--- a/services/shedhilld/main.cpp
+++ b/services/shedhilld/main.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The daemon: reads its settings, becomes a router or an endpoint's process, and runs until it is stopped.
+// Starts the daemon: reads its settings, takes the role of a router or an endpoint process, and runs until it is
+// stopped.
 #include "libraries/logging/log.h"
 #include "libraries/net/address.h"
 #include "libraries/net/fiber_scheduler.h"
@@ -21,45 +22,52 @@
 settings::setting_table describe_settings()
 {
     settings::setting_table table("shedhilld");
-    table.add_choice("role", { "none", "router", "endpoint" }, "What this process is: router or endpoint.");
+    table.add_choice("role", { "none", "router", "endpoint" }, "Role of this process: router or endpoint.");
     table.add_choice("binding", { "own", "platform" },
-        "Whose protocols are spoken: the product's own, or the users' platform's, whose settings file holds the rest.");
-    table.add_text(
-        "settings-file", "", "Binding platform: the settings file; empty for the one that the platform names.");
-    table.add_text("vm", "", "The name of this VM in the platform's list.");
-    table.add_text("failure-domain", "default", "The failure domain of this VM.");
-    table.add_text("fleet-key", "", "The key that all processes of the fleet share; at least 16 characters.");
-    table.add_text("frames", "127.0.0.1:7401", "Where other processes of the fleet connect.");
-    table.add_text("admin", "127.0.0.1:7402", "Where /healthz, /readyz and /metrics are served.");
-    table.add_text("http", "127.0.0.1:7400", "Router: where callers connect.");
-    table.add_text("platform", "127.0.0.1:7300", "Router: the platform's table, object store and VM list.");
-    table.add_text("peers", "", "Router: other routers as VM=ADDRESS:PORT,..., asked when the platform is down.");
-    table.add_number("subset-size", 12, 1, 1000, "Router: endpoints of one pool that it keeps connections to.");
-    table.add_number("offer-spread", 3, 1, 100, "Router: endpoints that waiting work is offered to at first.");
-    table.add_number("queue-bound", 4096, 1, 1000000, "Router: requests that may wait in all.");
-    table.add_number("deadline-ms", 60000, 100, 3600000, "Router: the longest time a request may take.");
-    table.add_number("first-chunk-limit-ms", 20000, 100, 3600000, "Router: silence before an answer begins.");
-    table.add_number("next-chunk-limit-ms", 5000, 100, 3600000, "Router: silence within an answer.");
-    table.add_number("body-bound", 4 << 20, 1024, 12 << 20, "Router: the largest request body in bytes.");
-    table.add_number("retry-percent", 10, 0, 100, "Router: retries for each hundred first tries.");
-    table.add_number("report-interval-ms", 250, 50, 60000, "Router: how often service is reported.");
-    table.add_number("report-bytes", 1500, 100, 1000000, "Router: bytes a second for reports of service.");
-    table.add_number("head-interval-ms", 2000, 100, 60000, "Router: how often the configuration's head is read.");
-    table.add_text("engine", "127.0.0.1:8000", "Endpoint: the engine or service beside this process.");
-    table.add_number("slots", 6, 1, 1024, "Endpoint: requests that the engine takes at once.");
+        "Protocols of this process: the product's own, or those of the users' platform, whose settings file holds the "
+        "other settings.");
+    table.add_text("settings-file", "",
+        "Binding platform: path of the settings file; empty for the file that the platform names.");
+    table.add_text("vm", "", "Name of this VM in the platform's list.");
+    table.add_text("failure-domain", "default", "Failure domain of this VM.");
+    table.add_text("fleet-key", "", "Key that all processes of the fleet share; at least 16 characters.");
+    table.add_text("frames", "127.0.0.1:7401", "Address at which other processes of the fleet connect.");
+    table.add_text("admin", "127.0.0.1:7402", "Address at which /healthz, /readyz and /metrics are served.");
+    table.add_text("http", "127.0.0.1:7400", "Router: address at which callers connect.");
+    table.add_text("platform", "127.0.0.1:7300", "Router: address of the platform's table, object store and VM list.");
+    table.add_text("peers", "",
+        "Router: other routers as VM=ADDRESS:PORT,..., asked for the configuration when the platform is down.");
+    table.add_number("subset-size", 12, 1, 1000, "Router: endpoints of one pool to which it keeps connections.");
+    table.add_number("offer-spread", 3, 1, 100, "Router: endpoints to which waiting work is offered at first.");
+    table.add_number("queue-bound", 4096, 1, 1000000, "Router: maximum number of waiting requests.");
+    table.add_number("deadline-ms", 60000, 100, 3600000, "Router: maximum time of a request, in milliseconds.");
+    table.add_number("first-chunk-limit-ms", 20000, 100, 3600000,
+        "Router: maximum silence before an answer begins, in milliseconds.");
+    table.add_number(
+        "next-chunk-limit-ms", 5000, 100, 3600000, "Router: maximum silence within an answer, in milliseconds.");
+    table.add_number("body-bound", 4 << 20, 1024, 12 << 20, "Router: maximum size of a request body, in bytes.");
+    table.add_number("retry-percent", 10, 0, 100, "Router: retries for each hundred first attempts.");
+    table.add_number("report-interval-ms", 250, 50, 60000, "Router: interval of service reports, in milliseconds.");
+    table.add_number("report-bytes", 1500, 100, 1000000, "Router: bytes per second for service reports.");
+    table.add_number("head-interval-ms", 2000, 100, 60000,
+        "Router: interval of reads of the configuration's head, in milliseconds.");
+    table.add_text("engine", "127.0.0.1:8000", "Endpoint: address of the engine or service beside this process.");
+    table.add_number("slots", 6, 1, 1024, "Endpoint: requests that the engine runs at once.");
     table.add_choice("choice", { "corrected-draw", "least-level", "own-counters" },
-        "Endpoint: how the next team is chosen; all but the first are for measurement.");
+        "Endpoint: how the next team is chosen; all choices but the first are for measurements.");
     table.add_number("prompt-weight", 250, 0, 1000000, "Endpoint: service of a prompt token, in thousandths.");
-    table.add_number("cached-weight", 25, 0, 1000000, "Endpoint: service of a prompt token served from cache.");
-    table.add_number("generated-weight", 1000, 1, 1000000, "Endpoint: service of a generated token.");
+    table.add_number(
+        "cached-weight", 25, 0, 1000000, "Endpoint: service of a prompt token served from the cache, in thousandths.");
+    table.add_number("generated-weight", 1000, 1, 1000000, "Endpoint: service of a generated token, in thousandths.");
     table.add_number("draw-size", 4, 1, 64, "Endpoint: teams drawn for one grant.");
     table.add_number("full-mesh-routers", 12, 1, 1000,
-        "Platform: up to so many routers are connected all to all; more exchange sums between failure domains.");
+        "Platform: up to this number of routers each router connects to all others; in a larger fleet they exchange "
+        "sums between failure domains.");
     table.add_number("metrics-port", 0, 0, 65535,
-        "Router, binding platform: where metrics are served; 0 for the first port that the platform keeps free.");
+        "Router, binding platform: port at which metrics are served; 0 for the first port that the platform reserves.");
     daemon::describe_policy(table);
-    table.add_flag("check-settings", "Checks the settings and ends.");
-    table.add_flag("help", "Prints this text.");
+    table.add_flag("check-settings", "Validates the settings and exits.");
+    table.add_flag("help", "Prints this text and exits.");
     return table;
 }
 
@@ -74,7 +82,7 @@
 
 process_epoch make_epoch()
 {
-    // NOTE: Microseconds of the wall clock: a restart on the same VM must have a larger epoch.
+    // NOTE: The epoch is the wall clock in microseconds: a restart on the same VM must have a larger epoch.
     auto const since = std::chrono::system_clock::now().time_since_epoch();
     return process_epoch(
         static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(since).count()));
@@ -145,7 +153,7 @@
     settings.admin_address = values.text("admin");
     settings.platform_address = values.text("platform");
     settings.limits.body_bytes = static_cast<std::size_t>(values.number("body-bound"));
-    // The peers were checked before.
+    // check_settings() has already validated the peers.
     settings.peers = parse_peers(values.text("peers")).value_or(std::vector<table_service::vm_record> {});
     return settings;
 }
--- a/services/shedhilld/platform_main.cpp
+++ b/services/shedhilld/platform_main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Settings, signals and bindings of the direct router.
+// Reads the settings, installs the signal handlers and runs the router with the platform's bindings.
 #include "services/shedhilld/platform_main.h"
 
 #include "platform/caller_binding.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-signal_flags g_signals; // NOLINT: a signal handler reaches nothing else
+signal_flags g_signals; // NOLINT: a signal handler can access only globals
 
 void handle_signal(int signal)
 {
@@ -27,13 +27,14 @@
 void install_signals()
 {
     struct sigaction action { };
-    action.sa_handler = handle_signal; // NOLINT: the system's own idiom
+    action.sa_handler = handle_signal; // NOLINT: POSIX declares the handler as a union member
     for (auto const signal : { SIGTERM, SIGINT, SIGHUP })
         sigaction(signal, &action, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-// Monitoring knows one port for the whole fleet, while the ports that the platform keeps free differ from day to day.
+// Sets the metrics port if one is given: monitoring expects one port for the whole fleet, while the ports that the
+// platform reserves change from day to day.
 void set_metrics_port(relay::deployment_settings& settings, std::uint16_t port)
 {
     auto const colon = settings.metrics_address.rfind(':');
@@ -54,7 +55,7 @@
     }
     settings->most_in_full_mesh = options.most_in_full_mesh;
     set_metrics_port(*settings, options.metrics_port);
-    if (options.is_check) {
+    if (options.is_check_only) {
         std::cout << "settings are valid\n";
         return EXIT_SUCCESS;
     }
--- a/services/shedhilld/platform_main.h
+++ b/services/shedhilld/platform_main.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The router on the users' platform: the direct router with the platform's bindings.
+// Starts the router on the users' platform: a platform_router with the platform's bindings.
 #pragma once
 
 #include "libraries/dispatch/policy.h"
@@ -9,20 +9,22 @@
 
 namespace shedhill::daemon {
 
-// Runs until the process is stopped; the exit status is the process's. With `is_check` the settings are read and told
-// good or bad, and nothing is run. An empty path stands for the file that the platform names.
+// Holds the flags of the process that concern the router on the users' platform.
 struct platform_router_options {
-    // The platform's settings file; empty for where the environment says that it is.
+    // The path of the platform's settings file; empty for the path that the platform's environment variable names.
     std::string settings_file;
     dispatch::dispatch_policy policy;
-    // Up to so many routers are connected all to all.
+    // Up to this number of routers each router connects to all others.
     std::size_t most_in_full_mesh { 0 };
-    // Where metrics are served on the VM's address; 0 for the first port that the platform keeps free for routers.
+    // The port on the VM's address at which metrics are served; 0 for the first port that the platform reserves for
+    // routers.
     std::uint16_t metrics_port { 0 };
-    // Only reads the settings.
-    bool is_check { false };
+    // Only validates the settings.
+    bool is_check_only { false };
 };
 
+// Runs the router until the process is stopped and returns the exit status of the process, which is 2 for invalid
+// settings. With `is_check_only` it validates the settings, reports the result and runs nothing.
 int run_platform_router(platform_router_options const& options);
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/platform_router.h
+++ b/services/shedhilld/platform_router.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A router before endpoints that have no process of ours beside them: carries the dispatcher's effects out on sockets
-// and tells it what happened. The bindings say in whose manner callers, endpoints and the store speak.
+// Routes requests to endpoints that have no process of this product beside them. The router executes the dispatcher's
+// effects on sockets and reports events to it. The bindings define the protocols of callers, endpoints and the store.
 #pragma once
 
 #include "libraries/dispatch/admission/return_time.h"
@@ -28,7 +28,7 @@
 
 namespace shedhill::daemon {
 
-// Set by the signal handlers.
+// Holds what the signal handlers have requested.
 struct signal_flags {
     volatile std::sig_atomic_t stop { 0 };
     volatile std::sig_atomic_t reload { 0 };
@@ -85,7 +85,7 @@
         return {};
     }
 
-    // Until a stop was asked for and everything has ended.
+    // Runs until a stop was requested and everything has ended, or the time for the stop is over.
     void run(signal_flags& signals)
     {
         while (!m_has_ended) {
@@ -99,7 +99,7 @@
         log_state("stopped", {});
     }
 
-    // What fleet_view tells this router.
+    // The functions below are the host interface that fleet_view requires.
 
     void handle_event(dispatch::event_body event)
     {
@@ -126,16 +126,16 @@
 
     static constexpr milliseconds max_round_wait { 10 };
     static constexpr milliseconds tick_interval { 8 };
-    // A tick comes at the latest so long after the one before, if the process has time for it.
+    // Ticks are at most this far apart while the process gets its processor time. What exceeds it is reported as lag.
     static constexpr milliseconds expected_tick_interval { 20 };
     static constexpr milliseconds timeout_check_interval { 24 };
     static constexpr milliseconds traffic_log_interval { 10000 };
-    // Of the VM's memory, what may be held for peers: the rest is for the process itself, which takes 20 MB in a fleet
-    // of hundreds, and for the system's own buffers of the same connections.
+    // The VM's memory divided by this number is the limit of bytes buffered for peers. The rest is for the process
+    // itself, which takes 20 MB in a fleet of hundreds, and for the kernel's buffers of the same connections.
     static constexpr std::size_t buffer_memory_divisor = 4;
     static constexpr milliseconds connect_timeout { 160 };
-    // Callers may rest for seconds; a small VM with 1,600 of them spent 9 in 100 of its time on looking at each 40
-    // times a second.
+    // Callers may stay idle for seconds. Checking 1,600 of them 40 times a second took 9 % of a small VM's processor
+    // time.
     static constexpr milliseconds idle_caller_check_interval { 240 };
 
     static dispatch::dispatch_options make_options(
@@ -152,7 +152,8 @@
         return options;
     }
 
-    // Callers are served without metrics too: a port that is taken ends no router.
+    // Opens the metrics server. Its failure does not stop the router: callers are served even if the metrics port is
+    // taken.
     result<void> open_metrics()
     {
         if (m_settings.metrics_address.empty())
@@ -160,16 +161,15 @@
         return m_metrics_server.open(m_settings.metrics_address);
     }
 
-    // Callers.
-
     void on_request(relay::caller_connection& connection, relay::caller_request request) override
     {
-        // Where many callers stay connected, descriptors run short: who has been served is let go.
+        // Descriptors run short where many callers stay connected. While there are more callers than the limit, each is
+        // disconnected after its answer.
         if (m_stop.has_begun() || m_callers.size() > max_persistent_callers() || sends_callers_away())
             connection.close_after_answer();
         if (m_stop.is_closing())
             return refuse_unparsed(connection, request, dispatch::refusal_reason::stopping, stopping_retry_delay);
-        // Not run and not kept: what is held already is served first.
+        // The request is neither run nor buffered: what is already buffered is served first.
         if (m_loop.held().is_over())
             return refuse_unparsed(connection, request, dispatch::refusal_reason::memory_full, dispatch::least_return);
         dispatch::request_arrived arrived;
@@ -217,7 +217,7 @@
         m_callers.remove_later(number);
     }
 
-    // Exchanges. What they tell is taken up at the end of the round: they are on the stack now.
+    // Exchanges report events while they are on the stack, so the events are processed at the end of the round.
 
     void on_event(dispatch::event_body event) override
     {
@@ -311,18 +311,18 @@
         m_metrics.observe_latency(histogram_name(measured), static_cast<double>(measured.took.count()));
     }
 
-    // Not before the balancer has noticed: until then they would come back here.
+    // Callers are sent away only after the load balancer has noticed that this router is not ready: until then they
+    // would come back here.
     [[nodiscard]] bool sends_callers_away() const
     {
         return m_sends_callers_away_since != instant {}
         && m_loop.now() - m_sends_callers_away_since >= relay::balancer_notice;
     }
 
-    // Half of the descriptors are for callers who rest between requests; the others are for those being served.
+    // Returns the number of callers above which a caller is disconnected after its answer. The other descriptors are
+    // for the connections of requests that are being served.
     [[nodiscard]] std::size_t max_persistent_callers() const { return m_settings.descriptors / 4; }
 
-    // Time.
-
     void tick(instant now, milliseconds lag, signal_flags& signals)
     {
         if (signals.stop != 0 && !m_stop.has_begun())
@@ -375,8 +375,6 @@
         }
     }
 
-    // Stopping.
-
     void begin_stop(instant now)
     {
         m_stop.begin(now);
@@ -418,8 +416,6 @@
         log_state("reloaded", {});
     }
 
-    // Readiness and counters.
-
     relay::status_answer answer_readiness() const
     {
         return m_is_ready ? relay::status_answer { 200, "ready\n" } : relay::status_answer { 503, "not ready\n" };
@@ -445,7 +441,7 @@
 
     static constexpr std::uint16_t status_bad_request = 400;
     static constexpr std::uint16_t status_unavailable = 503;
-    // Another router takes the request at once.
+    // A caller refused by a stopping router may retry almost immediately, because another router accepts the request.
     static constexpr milliseconds stopping_retry_delay { 20 };
 
     relay::deployment_settings m_settings;
@@ -470,7 +466,7 @@
     bool m_is_processing_scheduled { false };
 
     bool m_is_ready { false };
-    // This router has stepped aside; the epoch while it has not.
+    // When this router began to send callers away because it is overloaded; the epoch while it does not.
     instant m_sends_callers_away_since {};
     bool m_has_ended { false };
     relay::stop_sequence m_stop;
--- a/services/shedhilld/policy_settings.cpp
+++ b/services/shedhilld/policy_settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One table: each setting's name, unit, range and member.
+// Describes each setting in one table: its name, its unit, its range and its member of the policy.
 #include "services/shedhilld/policy_settings.h"
 
 #include <array>
@@ -17,7 +17,7 @@
 struct policy_setting {
     char const* name;
     double dispatch_policy::*member;
-    // What one in the setting is in the policy.
+    // The policy's value for a setting of one.
     double scale;
     std::int64_t max;
     char const* help;
@@ -25,46 +25,48 @@
 
 constexpr std::array policy_settings {
     policy_setting { "wait-within-share", &dispatch_policy::wait_within_share, percent, 400,
-        "Longest wait at a router of what is within its team's share, in percent of the objective." },
+        "Longest wait at a router of requests within their team's share, in percent of the objective." },
     policy_setting { "wait-past-share", &dispatch_policy::wait_past_share, percent, 400,
-        "The same of what is past its team's share." },
+        "Longest wait at a router of requests past their team's share, in percent of the objective." },
     policy_setting { "load-past-share", &dispatch_policy::load_past_share, percent, 100,
-        "Percent of an endpoint's places that what is past its share may fill." },
+        "Percent of an endpoint's slots that requests past their team's share may fill." },
     policy_setting { "load-less-per-lead", &dispatch_policy::load_less_per_lead, percent, 1000,
-        "Percent of places less for each even level that a team is ahead." },
+        "Percent of an endpoint's slots by which load-past-share falls for each even level of a team's excess." },
     policy_setting { "scarce-from", &dispatch_policy::scarce_from, percent, 100,
-        "Percent of a pool in use from which on shares begin to bind." },
+        "Percent of a pool in use above which shares begin to bind." },
     policy_setting { "patience-within-share", &dispatch_policy::patience_within_share, percent, 400,
-        "Wait for the endpoint that keeps a prompt's parts, in percent of the objective." },
+        "Longest wait for the endpoint that caches a prompt's parts, in percent of the objective." },
     policy_setting { "patience-past-share", &dispatch_policy::patience_past_share, percent, 400,
-        "The same of what is past its team's share." },
+        "Longest wait for the endpoint that caches a prompt's parts, of requests past their team's share, in percent "
+        "of the objective." },
     policy_setting { "queueing-past-share", &dispatch_policy::queueing_past_share, percent, 100,
-        "Percent of the time left in which an engine that is reading must begin what is past its share; 0: idle "
-        "only." },
+        "Percent of the remaining time within which an engine with pending prefill must be estimated to start a "
+        "request past its team's share; 0: idle engines only." },
     policy_setting { "margin-of-objective", &dispatch_policy::margin_of_objective, percent, 400,
-        "Percent of the time left in which a first event must be foreseen." },
+        "Percent of the remaining time within which a first event must be estimated." },
     policy_setting { "idle-reading-ms", &dispatch_policy::idle_reading_ms, unscaled, 10000,
-        "An engine with so little to read takes any prompt." },
+        "Pending prefill, in milliseconds, up to which an engine takes any prompt." },
     policy_setting { "reading-weight", &dispatch_policy::reading_weight, percent, 10000,
-        "What reading shared parts anew costs, in percent of the time that it takes." },
+        "Cost of a repeated prefill of shared parts where a pool is scarce, in percent of the time that it takes." },
     policy_setting { "idle-reading-weight", &dispatch_policy::idle_reading_weight, percent, 10000,
-        "The same where nothing is scarce." },
+        "Cost of a repeated prefill of shared parts where nothing is scarce, in percent of the time that it takes." },
     policy_setting { "spread-of-error", &dispatch_policy::spread_of_error, percent, 10000,
-        "Spread of each router's choices among like engines, in percent of the usual error of a forecast." },
+        "Spread of each router's choices among similar engines, in percent of the usual error of an estimate." },
     policy_setting { "placement-spread-ms", &dispatch_policy::placement_spread_ms, unscaled, 10000,
-        "Spread of first places of shared parts over the endpoints." },
+        "Spread of the first placements of shared parts over the endpoints, in milliseconds." },
     policy_setting { "other-domain-ms", &dispatch_policy::other_domain_ms, unscaled, 10000,
-        "What an endpoint in another failure domain costs in a choice." },
+        "Cost of an endpoint in another failure domain in a choice, in milliseconds." },
     policy_setting { "wait-plain", &dispatch_policy::wait_plain, percent, 400,
         "Longest wait at a router for a plain service, in percent of the objective." },
     policy_setting { "bearable-answer", &dispatch_policy::bearable_answer, percent, 400,
-        "Percent of the objective that a plain service's answer may take before less is sent there." },
+        "Percent of the objective that a plain service's answer may take before fewer requests are sent there." },
     policy_setting { "early-return", &dispatch_policy::early_return, percent, 1000,
-        "Percent of the objective after which a caller that found no place may come back; 0: as late as others." },
+        "Percent of the objective after which a caller that found no free slot may retry; 0: as late as other "
+        "callers." },
     policy_setting { "memory-filled", &dispatch_policy::memory_filled, percent, 10000,
-        "Percent of an engine's memory up to which requests are sent there." },
+        "Percent of an engine's KV cache capacity up to which requests are sent there." },
     policy_setting { "full-endpoint-ms", &dispatch_policy::full_endpoint_ms, unscaled, 10000,
-        "What a full endpoint costs above an empty one in a choice." },
+        "Cost of a full endpoint above that of an empty one in a choice, in milliseconds." },
 };
 
 constexpr char const* cache_lifetime_setting = "keeping-time-ms";
@@ -80,7 +82,7 @@
         table.add_number(setting.name, fallback, 0, setting.max, std::string("Platform: ") + setting.help);
     }
     table.add_number(cache_lifetime_setting, defaults.keeping_time.count(), 0, max_cache_lifetime_ms,
-        "Platform: how long a shared part that is not asked for is thought to be kept.");
+        "Platform: Time, in milliseconds, for which a shared part that is not requested is assumed to stay cached.");
 }
 
 dispatch_policy read_policy(settings::setting_values const& values)
--- a/services/shedhilld/policy_settings.h
+++ b/services/shedhilld/policy_settings.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The dispatcher's weights and limits as settings of the daemon.
+// Offers the dispatcher's weights and limits as settings of the daemon.
 #pragma once
 
 #include "libraries/dispatch/policy.h"
@@ -9,7 +9,7 @@
 
 // Adds a setting for each weight and limit, with the policy's own value as the default.
 void describe_policy(settings::setting_table& table);
-// The policy that the settings ask for.
+// Returns the policy that the settings describe.
 dispatch::dispatch_policy read_policy(settings::setting_values const& values);
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/process.cpp
+++ b/services/shedhilld/process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Signals, ticks and the admin server.
+// Implements signals, ticks and the admin server.
 #include "services/shedhilld/process.h"
 
 #include "libraries/net/fiber_scheduler.h"
@@ -19,7 +19,7 @@
 
 instant process::now() const
 {
-    // One second on, so that no event carries the instant that means "never".
+    // The clock starts at one second, so that no event carries the instant that means "never".
     auto const running = boot_clock::now() - m_started_at + std::chrono::seconds(1);
     return instant(std::chrono::duration_cast<milliseconds>(running));
 }
@@ -87,7 +87,7 @@
         response.status = 404;
         response.body = "there are /healthz, /readyz and /metrics\n";
     }
-    // Whoever asked and has gone needs no answer.
+    // The result is ignored: a peer that has disconnected needs no answer.
     (void)exchange.respond(response);
 }
 
--- a/services/shedhilld/process.h
+++ b/services/shedhilld/process.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What both roles of the daemon share: time, random draws, signals, the admin server and the counters.
+// Provides what both roles of the daemon share: the clock, random draws, signals, the admin server and the metrics.
 #pragma once
 
 #include "base/boot_clock.h"
@@ -25,13 +25,13 @@
     std::uint64_t draw() { return m_random(); }
     metrics::registry& metrics() { return m_metrics; }
 
-    // Serves /healthz, /readyz and /metrics.
+    // Serves /healthz, /readyz and /metrics at the address. Returns the port.
     result<std::uint16_t> open_admin(std::string const& address);
     void set_ready(bool is_ready);
 
-    // Calls at a steady interval until the process stops.
+    // Calls the function at a steady interval until the process stops.
     void tick_every(milliseconds interval, std::function<void()> on_tick);
-    // The first SIGTERM or SIGINT drains; the second ends the process at once.
+    // Calls the function at the first SIGTERM or SIGINT. The second one ends the process at once.
     void drain_on_signal(std::function<void()> on_drain);
 
     void stop() { m_stop.set(); }
--- a/services/shedhilld/published_documents.cpp
+++ b/services/shedhilld/published_documents.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One state for each kind of document.
+// Implements published_documents with one state for each kind of document.
 #include "services/shedhilld/published_documents.h"
 
 #include <algorithm>
@@ -8,6 +8,7 @@
 
 namespace {
 
+// The shortest time between two requests for the same kind of document.
 constexpr milliseconds request_interval { 400 };
 
 } // namespace
--- a/services/shedhilld/router_daemon.cpp
+++ b/services/shedhilld/router_daemon.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The interpreter of the router's effects. No decision is made here.
+// Interprets the effects of a router. The reducer makes all decisions.
 #include "services/shedhilld/router_daemon.h"
 
 #include "libraries/logging/log.h"
@@ -13,7 +13,7 @@
 
 constexpr milliseconds tick_interval { 50 };
 constexpr std::chrono::milliseconds connect_timeout { 2000 };
-// What may wait for a caller that reads slowly.
+// The bytes of an answer that may be queued for a caller that reads slowly.
 constexpr std::size_t max_queued_bytes = std::size_t { 4 } << 20;
 
 std::vector<net::http_header> outcome_headers(wire::run_outcome outcome, wire::reason why)
@@ -163,7 +163,7 @@
 void router_daemon::run(router::read_snapshot& /*effect*/)
 {
     net::start_fiber([this] {
-        // Without a snapshot the changes are read from the first one on.
+        // Without a snapshot, the reducer reads the changes from the first one on.
         auto snapshot = m_platform.get_object(table_service::snapshot_object);
         post(router::snapshot_read { snapshot.value_or(std::string()) });
     });
@@ -225,7 +225,7 @@
         m_host.metrics().add("shedhill_refusals_total{reason=\"bad_request\"}");
         net::http_response const refusal { 400, outcome_headers(wire::run_outcome::not_run, wire::reason::bad_request),
             "text/plain", parsed.error().reason + "\n" };
-        // A caller that has gone needs no answer.
+        // The result is ignored: a caller that has disconnected needs no answer.
         (void)exchange.respond(refusal);
         return;
     }
@@ -245,7 +245,7 @@
     m_callers.erase(number);
 }
 
-// Whether the caller got a final answer.
+// Sends the answer to the caller. Returns whether the caller got a final answer.
 bool router_daemon::deliver(net::http_exchange& exchange, caller& pending_caller)
 {
     while (true) {
@@ -269,7 +269,8 @@
         } else if (auto const* end = std::get_if<router::answer_end>(&answer)) {
             if (end->why == wire::reason::none)
                 return exchange.end_stream().has_value();
-            // The caller is told, and the stream lacks its end, so that no one takes it for whole.
+            // The caller gets an error event, and the stream lacks its last chunk, so that nobody takes it for
+            // complete.
             (void)exchange.write_chunk(broken_stream_event(*end));
             exchange.abort_stream();
             return true;
@@ -297,7 +298,7 @@
     pending_caller.queued_bytes += bytes;
     pending_caller.answers.push_back(std::move(answer));
     if (pending_caller.queued_bytes > max_queued_bytes + bytes) {
-        // The caller's fiber may be in a write that does not end for long: nothing more is kept for it meanwhile.
+        // The caller's fiber may be blocked in a write for a long time. Nothing more is queued for it from now on.
         pending_caller.is_gone = true;
         pending_caller.answers.clear();
         m_host.metrics().add("shedhill_slow_callers_total");
@@ -320,7 +321,7 @@
     if (!peer || peer->vm != vm) {
         m_host.metrics().add("shedhill_connect_failures_total");
         logging::log_error(
-            peer ? "connect [" + address + "]: another VM answers: " + peer->vm.value() : peer.error().to_string());
+            peer ? "connect [" + address + "]: another VM answered: " + peer->vm.value() : peer.error().to_string());
         (*connection)->abort();
         post(router::connect_failed { vm });
         return;
@@ -345,7 +346,7 @@
     post(router::connection_down { id });
 }
 
-// Lets the answers that are on their way reach their callers.
+// Waits up to 5 s until open answers have reached their callers, then stops the process.
 void router_daemon::finish_stopping()
 {
     constexpr std::chrono::milliseconds pause { 20 };
--- a/services/shedhilld/router_daemon.h
+++ b/services/shedhilld/router_daemon.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Carries out a router's effects: callers over HTTP, other processes over frames, the platform over its protocol.
+// Executes the effects of a router: it serves callers over HTTP, exchanges frames with other processes and calls the
+// platform over the platform's protocol.
 #pragma once
 
 #include "libraries/edge/request_parser.h"
@@ -21,7 +22,7 @@
     std::string admin_address;
     std::string platform_address;
     net::http_limits limits;
-    // Routers to ask for the configuration when the platform cannot be read at the start.
+    // Routers that are asked for the configuration if the platform cannot be read at the start.
     std::vector<table_service::vm_record> peers;
 };
 
@@ -29,18 +30,18 @@
 public:
     router_daemon(process& host, router_settings settings);
 
-    // Opens all addresses and prints them.
+    // Opens all addresses and prints their ports.
     result<void> open();
 
 private:
-    // What the reducer has for one caller, in order.
+    // Queues the reducer's answer effects for one caller, in order.
     struct caller {
         std::deque<router::effect> answers;
         std::size_t queued_bytes { 0 };
         net::fiber_event changed;
         instant arrived_at {};
         instant last_chunk_at {};
-        // The connection is closed, or the caller reads too slowly to be waited for.
+        // The connection is closed, or the caller reads so slowly that the answer was abandoned.
         bool is_gone { false };
     };
 
--- a/services/shedhilld/router_gauges.cpp
+++ b/services/shedhilld/router_gauges.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One gauge a line.
+// Sets each gauge from the part of the router's state that it shows.
 #include "services/shedhilld/router_gauges.h"
 
 #include "libraries/dispatch/log_fields.h"
--- a/services/shedhilld/router_gauges.h
+++ b/services/shedhilld/router_gauges.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a router's metrics show of its state at the moment they are asked for.
+// Writes a router's state into its metrics at the moment they are requested.
 #pragma once
 
 #include "libraries/dispatch/dispatch_reducer.h"
@@ -10,13 +10,15 @@
 namespace shedhill::daemon {
 
 void set_dispatch_gauges(metrics::registry& registry, dispatch::dispatch_reducer& reducer, instant now);
-// A sample for each engine and measure; not kept in the registry, which would name engines that are gone.
+// Returns a sample for each engine and measure. The registry does not hold them, because it would keep engines that are
+// gone.
 std::string engines_text(std::vector<dispatch::engine_view> const& engines);
-// A line for each reason for which an endpoint gets no new work, or less: for how many milliseconds more.
+// Returns a sample for each reason for which an endpoint gets no new work, or less of it: the remaining time in
+// milliseconds.
 std::string held_endpoints_text(std::vector<dispatch::held_endpoint> const& held);
-// Messages and bytes between routers since the start, by way and kind.
+// Sets the messages and bytes exchanged with other routers since the start, by direction and kind.
 void set_peer_gauges(metrics::registry& registry, relay::peer_traffic const& traffic);
-// The same as fields of a log line.
+// Returns the same counts as fields of a log line.
 std::string peer_traffic_fields(relay::peer_traffic const& traffic);
 void set_log_gauges(metrics::registry& registry, logging::event_log_counts const& counts);
 
--- a/services/shedhilld/routers_table.h
+++ b/services/shedhilld/routers_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The table of routers at the store: where each is reached. A router writes its own row where it is missing, and
-// removes the rows of those that have not answered for long.
+// Maintains the table of routers at the store, which holds the address of each router. A router writes its own row
+// where it is missing, and removes the rows of routers that have not answered for a long time.
 #pragma once
 
 #include "libraries/peering/peer_directory.h"
@@ -20,20 +20,20 @@
 template <relay::table_protocol TableBinding>
 class routers_table {
 public:
-    // Told that a write failed, or that it is not known whether it was done.
+    // Called when a write failed, or when it is unknown whether the store executed it.
     using failed_function = std::function<void()>;
-    // Told once what the own row of an earlier life had quarantined.
+    // Called once with the quarantined requests that an earlier instance of this router stored in its row.
     using quarantined_function = std::function<void(std::vector<dispatch::crash_record> records)>;
 
     routers_table(relay::event_loop& loop, relay::deployment_settings const& settings,
-        peering::peer_directory& directory, dispatch::store_followers& followers, failed_function on_failed,
+        peering::peer_directory& directory, dispatch::store_followers& watchers, failed_function on_failed,
         quarantined_function on_quarantined)
         : m_loop(loop)
         , m_settings(settings)
         , m_directory(directory)
         , m_on_failed(std::move(on_failed))
         , m_on_quarantined(std::move(on_quarantined))
-        , m_rows(loop, settings.store_address, relay::table_name::routers, followers, [this] { apply_rows(); })
+        , m_rows(loop, settings.store_address, relay::table_name::routers, watchers, [this] { apply_rows(); })
         , m_writer(loop, settings.store_address,
               [this](unsigned status, std::string const&) { handle_write_result(status); })
     {
@@ -45,7 +45,8 @@
         m_writer.check_time(now);
     }
 
-    // One call at a time. Only who follows the rows sees whether one was removed already.
+    // Writes or removes a row if one is due, with one call at a time. Only a router that watches the table removes
+    // rows, because the others do not see whether a row was removed already.
     void maintain_rows(bool is_watching_store, instant now)
     {
         if (m_writer.is_calling() || now < m_next_write_at || !m_rows.follower().has_rows())
@@ -56,12 +57,12 @@
             remove_stale_row(now);
     }
 
-    // What the own row is to keep.
+    // Sets the quarantined requests that this router's row is to hold.
     void set_quarantined(std::vector<dispatch::crash_record> records) { m_quarantined = std::move(records); }
-    // How many of them the store has confirmed.
+    // Returns how many quarantined requests the store has confirmed in this router's row.
     [[nodiscard]] std::size_t stored_quarantines() const { return m_stored_quarantines; }
 
-    // The own row is not written again.
+    // Stops writing this router's row.
     void leave() { m_is_leaving = true; }
 
     [[nodiscard]] relay::table_session<TableBinding>& rows() { return m_rows; }
@@ -88,7 +89,8 @@
             return false;
         if (m_written_text && *m_written_text != own_row_text())
             return true;
-        // Rows that were read before the last write do not show it: a router that does not follow them would write on.
+        // Rows that were read before the last write do not show it. A router that does not watch the table would
+        // otherwise write its row again and again.
         if (m_rows.follower().confirmed_at() <= m_written_at)
             return false;
         auto const& rows = m_rows.follower().rows();
@@ -147,12 +149,13 @@
     bool m_is_leaving { false };
     bool m_has_read_own_row { false };
     std::vector<dispatch::crash_record> m_quarantined;
-    // Of the own row: as it is being written, and as a write of it was last confirmed in this life.
+    // The text of this router's row: in the write under way, and in the last write that the store confirmed to this
+    // process.
     std::optional<std::string> m_text_in_flight;
     std::optional<std::string> m_written_text;
     std::size_t m_quarantines_in_flight { 0 };
     std::size_t m_stored_quarantines { 0 };
-    // When a write, of the own row or of one that was removed, was last confirmed.
+    // When the store last confirmed a write of this router's row or the removal of another one.
     instant m_written_at {};
     instant m_next_write_at {};
 };
--- a/services/shedhilld/store_log_lines.cpp
+++ b/services/shedhilld/store_log_lines.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A line for each call that has failed, and for each loss and return of the store.
+// Writes a line for each call that failed or was given up, and for each loss and return of the store.
 #include "services/shedhilld/store_log_lines.h"
 
 #include "libraries/dispatch/log_fields.h"
--- a/services/shedhilld/store_log_lines.h
+++ b/services/shedhilld/store_log_lines.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The log's lines and the counters of calls to the store.
+// Builds the log lines and the counter names for calls to the store.
 #pragma once
 
 #include "libraries/dispatch/store/store_followers.h"
@@ -12,14 +12,14 @@
 
 struct store_log_line {
     logging::event_level level { logging::event_level::warning };
-    // The event's stable name.
+    // The event's stable name in the log.
     std::string event;
     std::string fields;
 };
 
-// None for what is counted only: each call that is answered.
+// Returns the log line for the event. An answered call has none, because it is counted only.
 [[nodiscard]] std::optional<store_log_line> log_line_of(dispatch::store_note const& event);
-// The counter of a call that has ended; none for what is no call's end.
+// Returns the counter of a call that has ended; none for an event that ends no call.
 [[nodiscard]] std::optional<std::string> call_counter_of(dispatch::store_note const& event);
 
 } // namespace shedhill::daemon
--- a/tests/platform/binding_test.cpp
+++ b/tests/platform/binding_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The platform's manner of speaking: heads, tables, documents and settings, good and bad.
+// Tests the platform's bindings with good and bad input: request and answer heads, tables, documents and settings.
 #include "libraries/peering/peer_message.h"
 #include "platform/caller_binding.h"
 #include "platform/settings_file.h"
@@ -12,27 +12,27 @@
     CPPUNIT_TEST_SUITE(binding_test);
     CPPUNIT_TEST(a_request_is_read_field_by_field);
     CPPUNIT_TEST(a_bad_field_is_refused);
-    CPPUNIT_TEST(a_call_keeps_what_is_the_callers_and_hides_the_key);
+    CPPUNIT_TEST(a_call_forwards_the_callers_fields_without_the_key);
     CPPUNIT_TEST(what_a_router_alone_sets_is_never_the_callers);
     CPPUNIT_TEST(what_is_the_callers_is_kept_though_named_in_connection);
     CPPUNIT_TEST(no_set_of_fields_smuggles_what_a_router_sets);
     CPPUNIT_TEST(a_resumed_call_names_the_last_event_once);
     CPPUNIT_TEST(only_the_mark_proves_not_run);
-    CPPUNIT_TEST(an_answer_to_another_call_is_known_by_its_id);
-    CPPUNIT_TEST(what_an_answer_tells_of_its_endpoint_is_read_with_care);
-    CPPUNIT_TEST(a_refusal_says_when_to_come_back);
-    CPPUNIT_TEST(a_configuration_is_read_whole);
-    CPPUNIT_TEST(regions_are_read_of_routes_and_teams);
+    CPPUNIT_TEST(an_answer_to_another_call_is_detected_by_its_id);
+    CPPUNIT_TEST(endpoint_notices_are_parsed_strictly);
+    CPPUNIT_TEST(a_refusal_has_a_retry_delay);
+    CPPUNIT_TEST(a_whole_configuration_is_parsed);
+    CPPUNIT_TEST(allowed_regions_of_routes_and_teams_are_parsed);
     CPPUNIT_TEST(regions_that_cannot_be_read_refuse_the_configuration);
-    CPPUNIT_TEST(a_bad_configuration_is_refused_with_the_field);
-    CPPUNIT_TEST(an_endpoint_is_read);
+    CPPUNIT_TEST(a_bad_configuration_is_refused_with_the_fields_name);
+    CPPUNIT_TEST(an_endpoint_row_is_parsed);
     CPPUNIT_TEST(a_row_of_another_writer_names_no_endpoint);
-    CPPUNIT_TEST(a_start_is_told_apart);
+    CPPUNIT_TEST(the_start_time_is_parsed);
     CPPUNIT_TEST(rows_are_decoded);
-    CPPUNIT_TEST(any_bytes_are_read_without_harm);
-    CPPUNIT_TEST(settings_are_read_and_checked);
+    CPPUNIT_TEST(arbitrary_bytes_are_parsed_safely);
+    CPPUNIT_TEST(settings_are_parsed_and_validated);
     CPPUNIT_TEST(an_evacuation_names_its_failure_domain);
-    CPPUNIT_TEST(what_a_row_tells_of_a_cold_endpoint_is_read_with_care);
+    CPPUNIT_TEST(the_cold_time_of_a_row_is_parsed_strictly);
     CPPUNIT_TEST_SUITE_END();
 
     static relay::caller_request stream_request()
@@ -90,19 +90,19 @@
         return call;
     }
 
-    void a_call_keeps_what_is_the_callers_and_hides_the_key()
+    void a_call_forwards_the_callers_fields_without_the_key()
     {
         auto const call = call_of(stream_request());
         CPPUNIT_ASSERT(call.starts_with("POST /lohu/2f?q=1 HTTP/1.1\r\n"));
-        for (auto const* kept : { "X-Own: kept\r\n", "Shedhill-Request-Id: 9c41\r\n", "Shedhill-Tenant: hule\r\n",
+        for (auto const* forwarded : { "X-Own: kept\r\n", "Shedhill-Request-Id: 9c41\r\n", "Shedhill-Tenant: hule\r\n",
                  "Shedhill-Deadline-Ms: 900\r\n", "Shedhill-Expect-Instance: i-7\r\n", "Content-Length: 4\r\n",
                  "Host: Ficu.Example:80\r\n" })
-            CPPUNIT_ASSERT_MESSAGE(kept, call.find(kept) != std::string::npos);
+            CPPUNIT_ASSERT_MESSAGE(forwarded, call.find(forwarded) != std::string::npos);
         for (auto const* hidden : { "secret", "forged", "15000", "X-Hop", "Connection" })
             CPPUNIT_ASSERT_MESSAGE(hidden, call.find(hidden) == std::string::npos);
     }
 
-    // How often a line of the call begins with the field's name, in any case of letters.
+    // Counts the lines of the call that begin with the field's name, in any case of letters.
     static std::size_t count_fields(std::string const& call, std::string_view name)
     {
         std::size_t count = 0;
@@ -116,19 +116,20 @@
         return count;
     }
 
-    static constexpr std::array never_the_callers { "Shedhill-Hold", "Shedhill-Pin-Ms", "Shedhill-Kv-Backup", "Kv-From",
-        "Kv-Fetch", "Shedhill-Expect-Version" };
-    static constexpr std::array set_once { "Shedhill-Tenant", "Shedhill-Expect-Instance", "Shedhill-Deadline-Ms" };
+    static constexpr std::array fields_never_forwarded { "Shedhill-Hold", "Shedhill-Pin-Ms", "Shedhill-Kv-Backup",
+        "Kv-From", "Kv-Fetch", "Shedhill-Expect-Version" };
+    static constexpr std::array fields_set_by_router { "Shedhill-Tenant", "Shedhill-Expect-Instance",
+        "Shedhill-Deadline-Ms" };
 
     void what_a_router_alone_sets_is_never_the_callers()
     {
-        for (auto const* name : never_the_callers) {
+        for (auto const* name : fields_never_forwarded) {
             auto request = stream_request();
             request.insert(name, "smuggled");
             request.insert(name, "smuggled again");
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::size_t { 0 }, count_fields(call_of(request), name));
         }
-        for (auto const* name : set_once) {
+        for (auto const* name : fields_set_by_router) {
             auto request = stream_request();
             request.insert(name, "smuggled");
             auto const call = call_of(request);
@@ -147,11 +148,12 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::size_t { 1 }, count_fields(call, name));
     }
 
-    // Any mix of these fields, in any case of letters, any number of times, parsed from bytes as a caller sends them.
-    static void smuggles_nothing()
+    // Parses any mix of these fields, in any case of letters and any number of times, from bytes as a caller sends
+    // them, and checks that none of them reaches the endpoint with the caller's value.
+    static void check_nothing_is_smuggled()
     {
-        std::vector<std::string> known(never_the_callers.begin(), never_the_callers.end());
-        known.insert(known.end(), set_once.begin(), set_once.end());
+        std::vector<std::string> known(fields_never_forwarded.begin(), fields_never_forwarded.end());
+        known.insert(known.end(), fields_set_by_router.begin(), fields_set_by_router.end());
         known.emplace_back("X-Own");
         auto const picks
             = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(0, known.size()));
@@ -166,7 +168,7 @@
             }
             if (*rc::gen::arbitrary<bool>())
                 text += "Connection: " + name + "\r\n";
-            // A value that goes on in the next line is one value.
+            // A value that continues in the next line is one value.
             text += name + (*rc::gen::arbitrary<bool>() ? ": smuggled\r\n" : ": a\r\n smuggled\r\n");
         }
         text += "\r\n";
@@ -175,15 +177,15 @@
         parser.put(boost::asio::buffer(text), failure);
         RC_ASSERT(!failure || failure == boost::beast::http::error::need_more);
         auto const call = call_of(relay::caller_request(parser.release()));
-        for (auto const* name : never_the_callers)
+        for (auto const* name : fields_never_forwarded)
             RC_ASSERT(count_fields(call, name) == 0);
-        for (auto const* name : set_once)
+        for (auto const* name : fields_set_by_router)
             RC_ASSERT(count_fields(call, name) == 1);
     }
 
     void no_set_of_fields_smuggles_what_a_router_sets()
     {
-        testing::check_property("no set of fields smuggles what a router sets", [] { smuggles_nothing(); });
+        testing::check_property("no set of fields smuggles what a router sets", [] { check_nothing_is_smuggled(); });
     }
 
     void a_resumed_call_names_the_last_event_once()
@@ -209,12 +211,12 @@
     {
         using relay::answer_kind;
         std::pair<std::string, std::string> const id("Shedhill-Request-Id", "9c41");
-        std::pair<std::string, std::string> const mark("Shedhill-Not-Executed", "1");
+        std::pair<std::string, std::string> const not_executed("Shedhill-Not-Executed", "1");
         std::pair<std::string, std::string> const signature("Shedhill-Server-Signature", "3e");
-        CPPUNIT_ASSERT(kind_of(503, { id, mark }) == answer_kind::not_run);
+        CPPUNIT_ASSERT(kind_of(503, { id, not_executed }) == answer_kind::not_run);
         CPPUNIT_ASSERT(kind_of(421, { id }) == answer_kind::wrong_endpoint);
-        for (auto const promise : { 408U, 429U, 503U })
-            CPPUNIT_ASSERT(kind_of(promise, { id, signature }) == answer_kind::invalid);
+        for (auto const status : { 408U, 429U, 503U })
+            CPPUNIT_ASSERT(kind_of(status, { id, signature }) == answer_kind::invalid);
         CPPUNIT_ASSERT(kind_of(500, { id, signature }) == answer_kind::answer);
         CPPUNIT_ASSERT(kind_of(200, { id, signature }) == answer_kind::answer);
         CPPUNIT_ASSERT(kind_of(200, { id }) == answer_kind::invalid);
@@ -222,7 +224,7 @@
         CPPUNIT_ASSERT(kind_of(200, { id, signature, { "Content-Encoding", "gzip" } }) == answer_kind::invalid);
     }
 
-    void an_answer_to_another_call_is_known_by_its_id()
+    void an_answer_to_another_call_is_detected_by_its_id()
     {
         CPPUNIT_ASSERT(kind_of(200, { { "Shedhill-Request-Id", "other" }, { "Shedhill-Server-Signature", "3e" } })
             == relay::answer_kind::other_call);
@@ -238,29 +240,31 @@
         return caller_binding::notice_of(head);
     }
 
-    void what_an_answer_tells_of_its_endpoint_is_read_with_care()
+    void endpoint_notices_are_parsed_strictly()
     {
-        auto const rest_of = [](std::string const& text) { return notice_of(503, { { "Retry-After", text } }).rest; };
-        CPPUNIT_ASSERT(rest_of("3") == milliseconds(3000));
-        CPPUNIT_ASSERT(rest_of("0.25") == milliseconds(250));
-        CPPUNIT_ASSERT(rest_of("0.0001") == milliseconds(1));
+        auto const backoff_of = [](std::string const& text) {
+            return notice_of(503, { { "Retry-After", text } }).rest;
+        };
+        CPPUNIT_ASSERT(backoff_of("3") == milliseconds(3000));
+        CPPUNIT_ASSERT(backoff_of("0.25") == milliseconds(250));
+        CPPUNIT_ASSERT(backoff_of("0.0001") == milliseconds(1));
         for (auto const* nonsense :
             { "", "0", "-1", "-0", "nan", "inf", "1e3", "3 s", "soon", "0x10", "+3", "Wed, 21 Oct 2026 07:28:00 GMT" })
-            CPPUNIT_ASSERT_MESSAGE(nonsense, rest_of(nonsense) == milliseconds(0));
-        // Too large for any type: a long rest, not none.
-        CPPUNIT_ASSERT(rest_of("99999999999999999999") > std::chrono::hours(24));
-        // Only who turns a request away asks for rest by it.
+            CPPUNIT_ASSERT_MESSAGE(nonsense, backoff_of(nonsense) == milliseconds(0));
+        // A number too large for any type is a long back-off, not an absent one.
+        CPPUNIT_ASSERT(backoff_of("99999999999999999999") > std::chrono::hours(24));
+        // Only an answer that refuses a request can ask for a back-off.
         for (auto const status : { 200U, 404U, 500U, 301U })
             CPPUNIT_ASSERT(notice_of(status, { { "Retry-After", "3" } }).is_empty());
         CPPUNIT_ASSERT(notice_of(429, { { "Retry-After", "3" } }).rest == milliseconds(3000));
-        // Any answer tells that its endpoint leaves.
+        // Any answer can say that its endpoint is leaving.
         for (auto const status : { 200U, 404U, 500U, 503U })
             CPPUNIT_ASSERT(notice_of(status, { { "Server-Leaving", "1" } }).is_leaving);
         CPPUNIT_ASSERT(!notice_of(200, { { "Server-Leaving", "0" } }).is_leaving);
         CPPUNIT_ASSERT(notice_of(200, {}).is_empty());
     }
 
-    void a_refusal_says_when_to_come_back()
+    void a_refusal_has_a_retry_delay()
     {
         std::string answer;
         caller_binding::append_refusal(answer, { 429, "no_place", milliseconds(1050), true }, stream_request());
@@ -280,7 +284,7 @@
             "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}]})";
     }
 
-    void a_configuration_is_read_whole()
+    void a_whole_configuration_is_parsed()
     {
         auto const read = table_binding::parse_configuration(configuration_text());
         CPPUNIT_ASSERT(read.has_value());
@@ -294,7 +298,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, read->teams[0].keys.size());
     }
 
-    void regions_are_read_of_routes_and_teams()
+    void allowed_regions_of_routes_and_teams_are_parsed()
     {
         auto const read = table_binding::parse_configuration(R"({"version":7,
             "routes":[{"hostname":"h","path_prefix":"/a/","route_type":"safe","service":"s","allowed_regions":["r1","r2"]},
@@ -306,7 +310,7 @@
         CPPUNIT_ASSERT(read->teams[0].allowed_regions == std::vector { region_name("r2") });
     }
 
-    // A bound that cannot be read must not be taken for none.
+    // A restriction that cannot be parsed must not count as no restriction.
     void regions_that_cannot_be_read_refuse_the_configuration()
     {
         for (auto const* regions : { "\"r1\"", "[1]", "{}", "true" }) {
@@ -319,7 +323,7 @@
         }
     }
 
-    void a_bad_configuration_is_refused_with_the_field()
+    void a_bad_configuration_is_refused_with_the_fields_name()
     {
         CPPUNIT_ASSERT(!table_binding::parse_configuration("{"));
         CPPUNIT_ASSERT(!table_binding::parse_configuration("[]"));
@@ -332,7 +336,7 @@
         CPPUNIT_ASSERT(!table_binding::parse_configuration(R"({"version":-4})"));
     }
 
-    void an_endpoint_is_read()
+    void an_endpoint_row_is_parsed()
     {
         auto const read = table_binding::parse_endpoint("i-7", endpoint_text({ { "state", R"("draining")" } }));
         CPPUNIT_ASSERT_EQUAL(std::string("i-7"), read->name.value());
@@ -342,7 +346,7 @@
         CPPUNIT_ASSERT(!table_binding::parse_endpoint("i-9", "what"));
     }
 
-    // An endpoint's row as endpoints write it, with some fields replaced; an empty text leaves a field out.
+    // Returns an endpoint's row as endpoints write it, with some fields replaced. An empty text leaves a field out.
     static std::string endpoint_text(std::map<std::string, std::string> const& changed = {})
     {
         std::map<std::string, std::string> fields { { "service", R"("s")" }, { "address", R"("10.0.0.9:80")" },
@@ -359,7 +363,7 @@
         return row + "}";
     }
 
-    // A row of another writer names no endpoint, whichever of its fields is missing or of another type.
+    // A row of another writer is refused, whichever of its fields is missing or of another type.
     void a_row_of_another_writer_names_no_endpoint()
     {
         testing::check_property("a bad field refuses the row", [] {
@@ -375,16 +379,16 @@
             CPPUNIT_ASSERT(!table_binding::parse_endpoint("i", endpoint_text({ { "capacity", text } })));
     }
 
-    void a_start_is_told_apart()
+    void the_start_time_is_parsed()
     {
-        auto const born = [](std::string const& text) {
+        auto const started_at_ms = [](std::string const& text) {
             auto const read = table_binding::parse_endpoint("i", endpoint_text({ { "born", text } }));
             return read ? static_cast<std::int64_t>(read->born) : -1;
         };
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1781817594010 }, born("1781817594010"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, born(""));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1781817594010 }, started_at_ms("1781817594010"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, started_at_ms(""));
         for (auto const* text : { "1781817594010.5", "-3", R"("now")", "[]" })
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, born(text));
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, started_at_ms(text));
     }
 
     void rows_are_decoded()
@@ -396,27 +400,27 @@
         CPPUNIT_ASSERT(page->rows[1].is_gone);
         CPPUNIT_ASSERT(page->has_more);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 530 }, page->version);
-        // Rows of another writer: what cannot be read is empty, and the rows beside it hold.
-        auto const spoilt = table_binding::parse_page(
+        // A value of another writer that cannot be decoded is empty, and the rows beside it remain valid.
+        auto const malformed = table_binding::parse_page(
             R"({"rows":[{"tls_key":"k","value":"%%%","ver":1},{"tls_key":"l","value":7,"ver":2},)"
             R"({"tls_key":"m","value":"bm9kZS0x","ver":3}],"ver":3})");
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, spoilt->rows.size());
-        CPPUNIT_ASSERT(spoilt->rows[0].value.empty());
-        CPPUNIT_ASSERT(spoilt->rows[1].value.empty());
-        CPPUNIT_ASSERT_EQUAL(std::string("node-1"), spoilt->rows[2].value);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, malformed->rows.size());
+        CPPUNIT_ASSERT(malformed->rows[0].value.empty());
+        CPPUNIT_ASSERT(malformed->rows[1].value.empty());
+        CPPUNIT_ASSERT_EQUAL(std::string("node-1"), malformed->rows[2].value);
         auto const put = table_binding::put_call("s", relay::table_name::routers, "k", "node-1");
         CPPUNIT_ASSERT(put.find("bm9kZS0x") != std::string::npos);
     }
 
-    void any_bytes_are_read_without_harm()
+    void arbitrary_bytes_are_parsed_safely()
     {
         testing::check_property("bad input is refused and nothing else happens", [] {
             auto text = configuration_text();
-            auto const cut = *rc::gen::inRange<std::size_t>(0, text.size());
+            auto const position = *rc::gen::inRange<std::size_t>(0, text.size());
             auto const letter = *rc::gen::arbitrary<char>();
-            text[cut] = letter;
+            text[position] = letter;
             (void)table_binding::parse_configuration(text);
-            (void)table_binding::parse_configuration(text.substr(0, cut));
+            (void)table_binding::parse_configuration(text.substr(0, position));
             (void)table_binding::parse_page(text);
             (void)table_binding::parse_endpoint("x", text);
             (void)parse_settings(text);
@@ -424,7 +428,7 @@
         });
     }
 
-    void settings_are_read_and_checked()
+    void settings_are_parsed_and_validated()
     {
         auto const read = parse_settings(R"({"node_name":"edge-1","zone":"north","ip":"10.1.0.33",
             "listen":{"frontend":"10.1.0.33:8783","ready":"10.1.0.33:8780","control_plane":"10.1.0.33:8785"},
@@ -456,19 +460,19 @@
         CPPUNIT_ASSERT(!table_binding::evacuated_domain("evacuated"));
     }
 
-    void what_a_row_tells_of_a_cold_endpoint_is_read_with_care()
+    void the_cold_time_of_a_row_is_parsed_strictly()
     {
-        auto const cold_left = [](std::string const& told) {
-            auto const read = table_binding::parse_endpoint("i-1", endpoint_text({ { "cold_remaining_ms", told } }));
+        auto const cold_left = [](std::string const& text) {
+            auto const read = table_binding::parse_endpoint("i-1", endpoint_text({ { "cold_remaining_ms", text } }));
             return read ? read->cold_left.count() : -1;
         };
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, cold_left("0"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 2501 }, cold_left("2500.5"));
-        // A number that makes no sense counts as cold; what is none is another writer's.
-        for (auto const* told : { "-1", "1e300" })
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { 10000 }, cold_left(told));
-        for (auto const* told : { "\"soon\"", "[]", "true", "null" })
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, cold_left(told));
+        // A number out of range counts as cold. Any other type means that another program wrote the row.
+        for (auto const* text : { "-1", "1e300" })
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { 10000 }, cold_left(text));
+        for (auto const* text : { "\"soon\"", "[]", "true", "null" })
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, cold_left(text));
     }
 };
 
