--- a/libraries/peering/fleet_member.cpp
+++ b/libraries/peering/fleet_member.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The text form.
+// Converts fleet members to and from their text form.
 #include "libraries/peering/fleet_member.h"
 
 #include <charconv>
--- a/libraries/peering/fleet_member.h
+++ b/libraries/peering/fleet_member.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A router as others know it: where it is reached, in which failure domain it is, and how much it can do. Its row in
-// the table of routers and what routers tell of each other hold it as one text.
+// Describes a router to other routers: its address, its failure domain and its processor quota. The store's table of
+// routers and the messages between routers hold it in a text form.
 #pragma once
 
 #include "base/identifiers.h"
@@ -13,17 +13,18 @@
 
 struct fleet_member {
     std::string address;
-    // Empty where only the address is known.
+    // The failure domain; empty if only the address is known.
     failure_domain domain;
-    // Thousandths of a core that it may use: who tells for a failure domain has the most to do.
+    // The processor quota in thousandths of a core. The router of the highest weight becomes its domain's delegate,
+    // since a delegate has the most work.
     std::uint32_t weight { 0 };
 
     bool operator==(fleet_member const&) const = default;
 };
 
-// "ADDRESS WEIGHT DOMAIN".
+// Formats the member as "ADDRESS WEIGHT DOMAIN".
 std::string to_text(fleet_member const& member);
-// A text that is an address alone, as routers of an earlier version write it, gives no domain.
+// Parses the text form. Routers of earlier versions write the address alone, which yields a member without a domain.
 fleet_member parse_member(std::string_view text);
 
 } // namespace shedhill::peering
--- a/libraries/peering/peer_message.cpp
+++ b/libraries/peering/peer_message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The codec. What comes from outside is verified before it is read.
+// Encodes and decodes the messages between routers. Received bytes are verified before they are decoded.
 #include "libraries/peering/peer_message.h"
 
 #include "libraries/peering/generated/peer_message_generated.h"
@@ -19,34 +19,34 @@
 result<document_kind> kind_of(std::uint8_t number)
 {
     if (number >= static_cast<std::uint8_t>(document_kind::count))
-        return fail("decode peer message", {}, "unknown document");
+        return fail("decode peer message", {}, "the document kind is unknown");
     return static_cast<document_kind>(number);
 }
 
-// Ages are never longer than this; what a sender tells beyond it would overflow sums of times.
-milliseconds to_milliseconds(std::uint64_t told)
+// Limits a received age, since the sums of times with a larger one would overflow.
+milliseconds to_milliseconds(std::uint64_t age)
 {
-    constexpr std::uint64_t longest = 1ULL << 40U;
-    return milliseconds(static_cast<std::int64_t>(std::min(told, longest)));
+    constexpr std::uint64_t max_ms = 1ULL << 40U;
+    return milliseconds(static_cast<std::int64_t>(std::min(age, max_ms)));
 }
 
-// The value, or the most that the field holds.
+// Limits the value to the range of the field.
 template <typename Field, typename Value>
-Field saturated(Value value)
+Field saturate(Value value)
 {
-    auto const most = static_cast<double>(std::numeric_limits<Field>::max());
-    return static_cast<Field>(std::clamp(static_cast<double>(value), 0.0, most));
+    auto const max_value = static_cast<double>(std::numeric_limits<Field>::max());
+    return static_cast<Field>(std::clamp(static_cast<double>(value), 0.0, max_value));
 }
 
-// A first event tells of thousands of tokens; 32 keep its number within two bytes up to two million.
-constexpr double tokens_in_a_unit = 32;
+// The unit of reported prefill tokens. Reports cover thousands of tokens each; with this unit, up to two million fit
+// into the two bytes of the field.
+constexpr double tokens_per_unit = 32;
 
 fbs::Work to_wire(dispatch::endpoint_load const& load)
 {
-    return { load.endpoint.value(), saturated<std::uint32_t>(load.work.unread),
-        saturated<std::uint32_t>(load.work.held), saturated<std::uint32_t>(std::round(load.read.time_ms)),
-        saturated<std::uint16_t>(load.work.running),
-        saturated<std::uint16_t>(std::round(load.read.tokens / tokens_in_a_unit)) };
+    return { load.endpoint.value(), saturate<std::uint32_t>(load.work.unread), saturate<std::uint32_t>(load.work.held),
+        saturate<std::uint32_t>(std::round(load.read.time_ms)), saturate<std::uint16_t>(load.work.running),
+        saturate<std::uint16_t>(std::round(load.read.tokens / tokens_per_unit)) };
 }
 
 dispatch::endpoint_load from_wire(fbs::Work const& work)
@@ -54,13 +54,13 @@
     return { endpoint_key(work.endpoint()),
         { work.running(), static_cast<dispatch::token_count>(work.unread()),
             static_cast<dispatch::token_count>(work.held()) },
-        { work.read_units() * tokens_in_a_unit, static_cast<double>(work.read_ms()) } };
+        { work.read_units() * tokens_per_unit, static_cast<double>(work.read_ms()) } };
 }
 
 fbs::Crash to_wire(dispatch::crash_record const& record)
 {
-    return { record.request.team.value(), record.request.content.value(), saturated<std::uint32_t>(record.left.count()),
-        saturated<std::uint16_t>(record.trial_left.count()), record.stamp.epoch, record.stamp.crashes,
+    return { record.request.team.value(), record.request.content.value(), saturate<std::uint32_t>(record.left.count()),
+        saturate<std::uint16_t>(record.trial_left.count()), record.stamp.epoch, record.stamp.crashes,
         record.was_answered };
 }
 
@@ -78,7 +78,7 @@
     std::vector<fbs::Usage> teams;
     for (auto const& usage : state.report.teams)
         teams.emplace_back(
-            usage.team.value(), saturated<std::uint32_t>(usage.asked), saturated<std::uint32_t>(usage.admitted));
+            usage.team.value(), saturate<std::uint32_t>(usage.asked), saturate<std::uint32_t>(usage.admitted));
     std::vector<fbs::Placed> parts;
     for (auto const& placed : state.report.parts)
         parts.emplace_back(placed.endpoint.value(), placed.part);
@@ -98,65 +98,65 @@
     auto const peers = builder.CreateVectorOfStrings(members);
     auto const domain = builder.CreateString(state.report.domain.value());
     return fbs::CreateState(builder, vm, address, state.report.scope == dispatch::report_scope::whole,
-        builder.CreateVectorOfStructs(teams), saturated<std::uint32_t>(state.report.known_span.count()),
+        builder.CreateVectorOfStructs(teams), saturate<std::uint32_t>(state.report.known_span.count()),
         builder.CreateVectorOfStructs(parts), builder.CreateVector(documents), peers, state.report.routers_aside > 0,
         static_cast<float>(state.report.busy_part), domain, state.weight,
-        state.report.subject == dispatch::report_subject::domain, saturated<std::uint16_t>(state.report.routers),
-        saturated<std::uint16_t>(state.report.routers_aside), state.number, state.is_passed_on,
+        state.report.subject == dispatch::report_subject::domain, saturate<std::uint16_t>(state.report.routers),
+        saturate<std::uint16_t>(state.report.routers_aside), state.number, state.is_forwarded,
         builder.CreateVectorOfStructs(work), builder.CreateVectorOfStructs(crashes));
 }
 
 result<state_message> decode(fbs::State const& state)
 {
-    state_message made;
-    made.report.peer = vm_name(text_of(state.vm()));
-    made.address = text_of(state.address());
-    made.report.known_span = milliseconds(state.known_span_ms());
-    made.report.scope = state.are_loads_whole() ? dispatch::report_scope::whole : dispatch::report_scope::changes;
-    made.report.domain = failure_domain(text_of(state.domain()));
-    made.report.subject = state.is_of_domain() ? dispatch::report_subject::domain : dispatch::report_subject::router;
-    made.report.routers = state.routers();
-    made.report.routers_aside = std::min<std::uint32_t>(state.routers_aside(), state.routers());
-    made.weight = state.weight();
-    made.number = state.number();
-    made.is_passed_on = state.is_passed_on();
-    made.report.busy_part = state.busy_part() >= 0 ? std::min(static_cast<double>(state.busy_part()), 1.0) : 0;
+    state_message decoded;
+    decoded.report.peer = vm_name(text_of(state.vm()));
+    decoded.address = text_of(state.address());
+    decoded.report.known_span = milliseconds(state.known_span_ms());
+    decoded.report.scope = state.are_loads_whole() ? dispatch::report_scope::whole : dispatch::report_scope::changes;
+    decoded.report.domain = failure_domain(text_of(state.domain()));
+    decoded.report.subject = state.is_of_domain() ? dispatch::report_subject::domain : dispatch::report_subject::router;
+    decoded.report.routers = state.routers();
+    decoded.report.routers_aside = std::min<std::uint32_t>(state.routers_aside(), state.routers());
+    decoded.weight = state.weight();
+    decoded.number = state.number();
+    decoded.is_forwarded = state.is_passed_on();
+    decoded.report.busy_part = state.busy_part() >= 0 ? std::min(static_cast<double>(state.busy_part()), 1.0) : 0;
     if (state.work() != nullptr) {
         for (auto const* work : *state.work())
-            made.report.loads.push_back(from_wire(*work));
+            decoded.report.loads.push_back(from_wire(*work));
     }
     if (state.teams() != nullptr) {
         for (auto const* usage : *state.teams())
-            made.report.teams.push_back({ team_key(usage->team()), usage->asked(), usage->admitted() });
+            decoded.report.teams.push_back({ team_key(usage->team()), usage->asked(), usage->admitted() });
     }
     if (state.parts() != nullptr) {
         for (auto const* placed : *state.parts())
-            made.report.parts.push_back({ endpoint_key(placed->endpoint()), placed->part() });
+            decoded.report.parts.push_back({ endpoint_key(placed->endpoint()), placed->part() });
     }
     if (state.crashes() != nullptr) {
         for (auto const* crash : *state.crashes())
-            made.report.crashes.push_back(from_wire(*crash));
+            decoded.report.crashes.push_back(from_wire(*crash));
     }
     if (state.documents() != nullptr) {
         for (auto const* document : *state.documents()) {
             auto const kind = TRY(kind_of(document->kind()));
-            document_version told { kind, document->version(), to_milliseconds(document->age_ms()) };
+            document_version version { kind, document->version(), to_milliseconds(document->age_ms()) };
             if (document->returned_ago_ms() > 0)
-                told.returned_ago = to_milliseconds(document->returned_ago_ms() - 1);
-            made.documents.push_back(told);
+                version.returned_ago = to_milliseconds(document->returned_ago_ms() - 1);
+            decoded.documents.push_back(version);
         }
     }
     if (state.peers() != nullptr) {
         for (auto const* peer : *state.peers())
-            made.members.push_back(parse_member(text_of(peer)));
+            decoded.members.push_back(parse_member(text_of(peer)));
     }
-    return made;
+    return decoded;
 }
 
 result<document_message> decode(fbs::Document const& document)
 {
-    document_message made { TRY(kind_of(document.kind())), {} };
-    auto& told = made.rows;
+    document_message decoded { TRY(kind_of(document.kind())), {} };
+    auto& told = decoded.rows;
     told.version = document.version();
     told.changed_version = document.changed_version();
     told.keys_hash = document.keys_hash();
@@ -170,7 +170,7 @@
         for (auto const* row : *document.gone())
             told.gone.push_back({ text_of(row->key()), row->version() });
     }
-    return made;
+    return decoded;
 }
 
 struct message_encoder {
@@ -198,7 +198,7 @@
         return fbs::CreateMessage(builder, 0, encoded);
     }
 
-    flatbuffers::Offset<fbs::Message> operator()(document_wanted const& wanted) const
+    flatbuffers::Offset<fbs::Message> operator()(document_request const& wanted) const
     {
         auto const address = builder.CreateString(wanted.address);
         auto const encoded
@@ -206,7 +206,7 @@
         return fbs::CreateMessage(builder, 0, 0, encoded, address, wanted.since);
     }
 
-    flatbuffers::Offset<fbs::Message> operator()(link_wanted const& wanted) const
+    flatbuffers::Offset<fbs::Message> operator()(link_request const& wanted) const
     {
         auto const address = builder.CreateString(wanted.address);
         return fbs::CreateMessage(builder, 0, 0, 0, 0, 0, address);
@@ -221,30 +221,30 @@
     builder.Finish(std::visit(message_encoder { builder }, message));
     auto const size = builder.GetSize();
     std::string frame;
-    frame.reserve(frame_head_size + size);
-    for (unsigned index = 0; index < frame_head_size; ++index)
+    frame.reserve(frame_header_size + size);
+    for (unsigned index = 0; index < frame_header_size; ++index)
         frame += static_cast<char>((size >> (bits_per_byte * index)) & 0xFFU);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the library gives unsigned bytes
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): FlatBuffers returns unsigned bytes
     frame.append(reinterpret_cast<char const*>(builder.GetBufferPointer()), size);
     return frame;
 }
 
 std::optional<std::size_t> frame_size(std::string_view bytes)
 {
-    if (bytes.size() < frame_head_size)
+    if (bytes.size() < frame_header_size)
         return std::nullopt;
     std::size_t size = 0;
-    for (unsigned index = 0; index < frame_head_size; ++index)
+    for (unsigned index = 0; index < frame_header_size; ++index)
         size |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[index])) << (bits_per_byte * index);
-    return frame_head_size + size;
+    return frame_header_size + size;
 }
 
 result<peer_message> decode_body(std::string_view body)
 {
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the library takes unsigned bytes
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): FlatBuffers reads unsigned bytes
     auto const* bytes = reinterpret_cast<std::uint8_t const*>(body.data());
     if (flatbuffers::Verifier verifier(bytes, body.size()); !fbs::VerifyMessageBuffer(verifier))
-        return fail("decode peer message", {}, "is not well formed");
+        return fail("decode peer message", {}, "the body is not a valid FlatBuffers message");
     auto const* message = fbs::GetMessage(bytes);
     if (message->state() != nullptr)
         return peer_message(TRY(decode(*message->state())));
@@ -253,11 +253,11 @@
     if (auto const* wanted = message->wanted()) {
         auto const kind = TRY(kind_of(wanted->kind()));
         return peer_message(
-            document_wanted { kind, wanted->version(), text_of(message->wanted_by()), message->wanted_since() });
+            document_request { kind, wanted->version(), text_of(message->wanted_by()), message->wanted_since() });
     }
     if (auto const* address = message->link_wanted_by())
-        return peer_message(link_wanted { text_of(address) });
-    return fail("decode peer message", {}, "has no part");
+        return peer_message(link_request { text_of(address) });
+    return fail("decode peer message", {}, "the message is empty");
 }
 
 } // namespace shedhill::peering
--- a/libraries/peering/peer_message.h
+++ b/libraries/peering/peer_message.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What routers tell each other: their loads and charges, and documents that one of them could not read from the store.
+// The messages between routers: reports of loads and of the teams' usage, and documents of the store for routers that
+// did not read them there.
 #pragma once
 
 #include "base/error.h"
@@ -16,30 +17,30 @@
 
 namespace shedhill::peering {
 
-// Documents that a router passes on to others that cannot hear the store, each a table there: what operators declare,
-// and the list of endpoints.
+// Documents that a router forwards to routers that do not receive them from the store. Each is a table there: the
+// declarations of operators, and the list of endpoints.
 enum class document_kind : std::uint8_t { configuration, endpoints, count };
 
 struct document_version {
     document_kind kind { document_kind::configuration };
     std::uint64_t version { 0 };
-    // Since the store last confirmed it, at the sender.
+    // Time since the store last confirmed the document to the sender.
     milliseconds age { 0 };
-    // Since the store returned after an outage, as the sender knows; none where it did not.
+    // Time since the store returned after an outage, as far as the sender knows; empty if there was no outage.
     std::optional<milliseconds> returned_ago {};
 };
 
 struct state_message {
     dispatch::peer_reported report;
-    // Of the sender. With its weight and the report's failure domain it makes a fleet_member.
+    // The sender's address, which together with its weight and the report's failure domain forms its fleet_member.
     std::string address;
     std::uint32_t weight { 0 };
     std::vector<document_version> documents;
     std::vector<fleet_member> members {};
-    // Rises with each message that the sender makes.
+    // The sequence number, which increases with each message of the sender.
     std::uint64_t number { 0 };
-    // Another router passes on what the sender told it.
-    bool is_passed_on { false };
+    // Set if another router forwards the sender's message.
+    bool is_forwarded { false };
 
     [[nodiscard]] fleet_member sender() const { return { address, report.domain, weight }; }
 };
@@ -49,30 +50,32 @@
     dispatch::table_follower::told_rows rows {};
 };
 
-struct document_wanted {
+struct document_request {
     document_kind kind { document_kind::configuration };
-    // What the asking router has.
+    // The version that the requesting router has.
     std::uint64_t version { 0 };
     std::string address;
-    // It knows all changes to the table up to this version, and takes what has changed since; 0 where it takes the
-    // whole.
+    // The requesting router has all changes up to this version and needs only later ones; 0 if it needs the whole
+    // table.
     std::uint64_t since { 0 };
 };
 
-// The sender needs to hear the reader, which would not connect to it by itself.
-struct link_wanted {
+// Asks the receiver, which would not connect otherwise, to connect to the sender and send it reports.
+struct link_request {
     std::string address;
 };
 
-using peer_message = std::variant<state_message, document_message, document_wanted, link_wanted>;
+using peer_message = std::variant<state_message, document_message, document_request, link_request>;
 
-// A frame is the size of what follows, four bytes with the lowest first, and a FlatBuffers message.
-constexpr std::size_t frame_head_size = 4;
-constexpr std::size_t most_frame_size = 8U << 20U;
+// A frame is the size of the message as four bytes in little-endian order, followed by the FlatBuffers message.
+constexpr std::size_t frame_header_size = 4;
+constexpr std::size_t max_frame_size = 8U << 20U;
 
 std::string encode_frame(peer_message const& message);
+// Verifies and decodes the message of a frame, without the frame's header. Fails if the bytes are not a valid message
+// or its document kind is unknown.
 result<peer_message> decode_body(std::string_view body);
-// The size of the frame that the bytes begin with, its head included; none while the head is not whole.
+// Returns the size of the frame that the bytes begin with, including its header; empty while the header is incomplete.
 std::optional<std::size_t> frame_size(std::string_view bytes);
 
 } // namespace shedhill::peering
--- a/libraries/peering/router_row.cpp
+++ b/libraries/peering/router_row.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The text form, line by line.
+// Converts rows of the table of routers to and from their text form, line by line.
 #include "libraries/peering/router_row.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Takes the next number off the text; none where there is none, or it does not fit.
+// Removes the next number from the front of the text and returns it; empty if there is none or it does not fit.
 template <typename Number>
 std::optional<Number> take_number(std::string_view& text)
 {
--- a/libraries/peering/router_row.h
+++ b/libraries/peering/router_row.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A router's row in the table of routers: where it is reached, and the requests that it has quarantined. What it knew
-// besides is gone after a restart; these it reads again, so that a loss of all routers at once lets none of them go on.
+// A router's row in the store's table of routers: its address and the requests that it has quarantined. A router loses
+// all other state when it restarts. It reads the quarantined requests back, so that they stay quarantined even if all
+// routers fail at once.
 #pragma once
 
 #include "libraries/dispatch/suspects/crash_record.h"
@@ -17,9 +18,9 @@
     std::vector<dispatch::crash_record> quarantined {};
 };
 
-// The member's text, and a line for each quarantined request: "TEAM CONTENT EPOCH CRASHES ANSWERED".
+// Formats the row: the member's text, then a line for each quarantined request: "TEAM CONTENT EPOCH CRASHES ANSWERED".
 std::string to_text(router_row const& row);
-// Lines that cannot be read are left out.
+// Parses a row. Lines of requests that are not valid are skipped.
 router_row parse_router_row(std::string_view text);
 
 } // namespace shedhill::peering
--- a/libraries/relay/call_connection.cpp
+++ b/libraries/relay/call_connection.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Calls over one connection.
+// Implements calls over one connection: connecting, parsing of answers, and reuse.
 #include "libraries/relay/call_connection.h"
 
 #include <charconv>
@@ -8,22 +8,24 @@
 
 namespace {
 
-constexpr std::uint32_t most_header_bytes = 32768;
-// A kept connection is given up a little before the server does.
-constexpr std::int64_t kept_part_percent = 70;
-constexpr milliseconds kept_without_word { 4000 };
+constexpr std::uint32_t max_header_bytes = 32768;
+// An idle connection counts as reusable for this percentage of the server's Keep-Alive timeout, so that no call is sent
+// while the server closes it.
+constexpr std::int64_t reuse_percent_of_timeout = 70;
+// The time for which a connection is reusable if the server names no timeout.
+constexpr milliseconds default_reuse_time { 4000 };
 
-// "timeout=5" or "5" of a Keep-Alive field.
-milliseconds kept_time(std::string_view value)
+// Returns for how long an idle connection is reusable, from a Keep-Alive field such as "timeout=5" or "5".
+milliseconds reuse_time(std::string_view value)
 {
     auto const equals = value.find("timeout=");
     if (equals != std::string_view::npos)
         value.remove_prefix(equals + std::string_view("timeout=").size());
     int seconds = 0;
     if (std::from_chars(value.data(), value.data() + value.size(), seconds).ec != std::errc() || seconds < 0)
-        return kept_without_word;
+        return default_reuse_time;
     constexpr std::int64_t ms_per_percent_of_second = 10;
-    return milliseconds(seconds * ms_per_percent_of_second * kept_part_percent);
+    return milliseconds(seconds * ms_per_percent_of_second * reuse_percent_of_timeout);
 }
 
 } // namespace
@@ -31,7 +33,7 @@
 void call_connection::start(std::string const& address, std::string call, call_listener& listener)
 {
     m_listener = &listener;
-    ++m_call;
+    ++m_call_number;
     begin_answer();
     m_socket.out() = std::move(call);
     if (m_phase == phase::idle) {
@@ -42,21 +44,21 @@
     }
     m_phase = phase::connecting;
     if (!m_socket.connect(address)) {
-        // The caller of start() is told after it has returned.
+        // The listener is called after start() has returned.
         m_loop.at_end_of_round([self = weak_from_this()] {
-            if (auto const alive = self.lock(); alive && alive->m_listener != nullptr)
-                alive->end_call(call_end::not_sent);
+            if (auto const connection = self.lock(); connection && connection->m_listener != nullptr)
+                connection->end_call(call_end::not_sent);
         });
     }
 }
 
 void call_connection::begin_answer()
 {
-    m_rest.clear();
+    m_unparsed.clear();
     m_parser.emplace();
     m_parser->eager(true);
     m_parser->body_limit(boost::none);
-    m_parser->header_limit(most_header_bytes);
+    m_parser->header_limit(max_header_bytes);
     m_has_head = false;
     m_is_skipping = false;
 }
@@ -72,7 +74,7 @@
 {
     auto const self = shared_from_this();
     if (m_phase == phase::connecting) {
-        if (!m_socket.has_connected())
+        if (!m_socket.finish_connect())
             return end_call(call_end::not_sent);
         m_phase = phase::calling;
         if (!m_socket.flush())
@@ -85,36 +87,36 @@
         return;
     auto const [bytes, end] = m_socket.read();
     if (m_phase != phase::calling) {
-        // Nothing was asked: the server has closed, or sends what belongs to no call.
+        // No call is in progress: the server has closed the connection or sent bytes that belong to no call.
         m_phase = phase::unconnected;
         return m_socket.close();
     }
     if (!bytes.empty())
-        return take_bytes(bytes);
+        return parse_bytes(bytes);
     if (end != read_end::drained)
-        take_end_of_input(end);
+        handle_end_of_input(end);
 }
 
-void call_connection::take_bytes(std::string_view bytes)
+void call_connection::parse_bytes(std::string_view bytes)
 {
     std::string joined;
-    if (!m_rest.empty()) {
-        joined = std::move(m_rest);
+    if (!m_unparsed.empty()) {
+        joined = std::move(m_unparsed);
         joined += bytes;
         bytes = joined;
-        m_rest.clear();
+        m_unparsed.clear();
     }
-    auto const call = m_call;
+    auto const call = m_call_number;
     while (!bytes.empty()) {
         auto const used = parse_some(bytes);
         // The listener may have started another call already.
-        if (m_phase != phase::calling || m_call != call)
+        if (m_phase != phase::calling || m_call_number != call)
             return;
         if (used == 0)
             break;
         bytes.remove_prefix(used);
     }
-    m_rest = bytes;
+    m_unparsed = bytes;
 }
 
 std::size_t call_connection::parse_some(std::string_view bytes)
@@ -130,16 +132,16 @@
         if (m_phase != phase::calling)
             return used;
     }
-    auto& pieces = m_parser->get().body().pieces;
-    if (!pieces.empty()) {
+    auto& content = m_parser->get().body().content;
+    if (!content.empty()) {
         if (!m_is_skipping)
-            m_listener->on_data(pieces);
+            m_listener->on_data(content);
         if (m_phase != phase::calling)
             return used;
-        pieces.clear();
+        content.clear();
     }
     if (m_parser->is_done())
-        finish_answer(bytes.size() > used ? surplus::some : surplus::none);
+        finish_answer(bytes.size() > used ? trailing_bytes::some : trailing_bytes::none);
     return used;
 }
 
@@ -147,48 +149,48 @@
 {
     m_has_head = true;
     switch (m_listener->on_head(m_parser->get().base())) {
-    case head_choice::take:
+    case head_decision::accept:
         break;
-    case head_choice::skip:
+    case head_decision::skip:
         m_is_skipping = true;
         break;
-    case head_choice::refuse:
+    case head_decision::reject:
         if (m_listener != nullptr)
             end_call(call_end::broken);
         break;
     }
 }
 
-void call_connection::finish_answer(surplus after_it)
+void call_connection::finish_answer(trailing_bytes trailing)
 {
     if (m_is_skipping) {
-        if (!can_be_kept())
+        if (!is_reusable())
             return end_call(call_end::broken);
         return begin_answer();
     }
-    auto const kept = kept_time(field_of(m_parser->get().base(), "Keep-Alive"));
-    // Bytes after the answer belong to no call.
-    bool const is_kept = can_be_kept() && after_it == surplus::none;
-    m_phase = is_kept ? phase::idle : phase::unconnected;
-    if (!is_kept)
+    auto const reuse_for = reuse_time(field_of(m_parser->get().base(), "Keep-Alive"));
+    // Bytes after the answer belong to no call, so the connection is not reused.
+    bool const stays_open = is_reusable() && trailing == trailing_bytes::none;
+    m_phase = stays_open ? phase::idle : phase::unconnected;
+    if (!stays_open)
         m_socket.close();
     m_idle_since = m_loop.now();
-    m_kept_until = m_idle_since + kept;
+    m_reusable_until = m_idle_since + reuse_for;
     auto* const listener = std::exchange(m_listener, nullptr);
     listener->on_call_end(call_end::complete);
 }
 
-// NOTE: An answer may come before the whole call was read. The rest of the body must then go nowhere, so the connection
-// is closed instead of being kept.
-bool call_connection::can_be_kept() const { return m_parser->keep_alive() && !m_socket.has_unwritten(); }
+// NOTE: A server may answer before it has read the whole call. The unsent rest of the body must then not be sent as
+// part of a later call, so the connection is closed instead of being reused.
+bool call_connection::is_reusable() const { return m_parser->keep_alive() && !m_socket.has_unwritten(); }
 
-void call_connection::take_end_of_input(read_end end)
+void call_connection::handle_end_of_input(read_end end)
 {
     if (end == read_end::closed && m_has_head && !m_is_skipping) {
         boost::system::error_code failure;
         m_parser->put_eof(failure);
         if (!failure && m_parser->is_done())
-            return finish_answer(surplus::none);
+            return finish_answer(trailing_bytes::none);
     }
     end_call(call_end::broken);
 }
--- a/libraries/relay/call_connection.h
+++ b/libraries/relay/call_connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A connection to an HTTP server, for one call at a time: to an endpoint, or to the store. It tells apart what was
-// never written, and skips answers that belong to an earlier call.
+// A connection to an HTTP server, an endpoint or the store, that carries one call at a time. It distinguishes calls of
+// which no byte was written, and can skip answers that belong to an earlier call.
 #pragma once
 
 #include "libraries/relay/http_message.h"
@@ -18,12 +18,13 @@
     broken,
 };
 
-enum class head_choice {
-    take,
-    // The answer belongs to an earlier call; the next one is waited for.
+// What the listener decides about an answer after reading its head.
+enum class head_decision {
+    accept,
+    // The answer belongs to an earlier call: discard it and wait for the next one.
     skip,
-    // What came is no answer to anything that was asked.
-    refuse,
+    // The answer belongs to no call: end this call as broken.
+    reject,
 };
 
 class call_connection;
@@ -31,9 +32,9 @@
 class call_listener {
 public:
     virtual ~call_listener() = default;
-    virtual head_choice on_head(answer_head const& head) = 0;
+    virtual head_decision on_head(answer_head const& head) = 0;
     virtual void on_data(std::string_view data) = 0;
-    // The last word on the call. The connection may be used again if it is idle.
+    // The call has ended; no further callback follows for it. The connection may be reused if it is idle.
     virtual void on_call_end(call_end end) = 0;
 };
 
@@ -45,46 +46,46 @@
     {
     }
 
-    // Connects if need be, and sends the call. The listener must outlive the call or abandon it.
+    // Connects if necessary and sends the call. The listener must outlive the call or abandon it.
     void start(std::string const& address, std::string call, call_listener& listener);
-    // Closes without a word to the listener.
+    // Closes the connection without calling the listener.
     void abandon();
 
     [[nodiscard]] bool is_open() const { return m_socket.is_open(); }
     [[nodiscard]] bool is_idle() const { return m_phase == phase::idle && m_socket.is_open(); }
     [[nodiscard]] bool is_connecting() const { return m_phase == phase::connecting; }
-    // When it became idle, and until when the server is thought to keep it.
+    // When the connection became idle, and until when the server is expected to keep it open.
     [[nodiscard]] instant idle_since() const { return m_idle_since; }
-    [[nodiscard]] instant kept_until() const { return m_kept_until; }
+    [[nodiscard]] instant reusable_until() const { return m_reusable_until; }
 
 private:
     enum class phase { unconnected, connecting, idle, calling };
-    enum class surplus { none, some };
+    enum class trailing_bytes { none, some };
 
     void on_ready(readiness ready) override;
-    void take_bytes(std::string_view bytes);
-    // What was read of the bytes; less than all where more are needed.
+    void parse_bytes(std::string_view bytes);
+    // Returns how many of the bytes were parsed; fewer than all if the parser needs more input.
     std::size_t parse_some(std::string_view bytes);
-    void take_end_of_input(read_end end);
+    void handle_end_of_input(read_end end);
     void handle_head();
-    void finish_answer(surplus after_it);
+    void finish_answer(trailing_bytes trailing);
     void end_call(call_end end);
     void begin_answer();
-    [[nodiscard]] bool can_be_kept() const;
+    [[nodiscard]] bool is_reusable() const;
 
     event_loop& m_loop;
     socket m_socket;
     phase m_phase { phase::unconnected };
     call_listener* m_listener { nullptr };
-    std::optional<http::response_parser<piece_body>> m_parser;
+    std::optional<http::response_parser<streamed_body>> m_parser;
     bool m_has_head { false };
     bool m_is_skipping { false };
-    // Counts the calls.
-    std::uint64_t m_call { 0 };
-    // Bytes of the answer that were not yet enough to be read on.
-    std::string m_rest;
+    // The number of the current call.
+    std::uint64_t m_call_number { 0 };
+    // Received bytes of the answer that the parser cannot consume yet.
+    std::string m_unparsed;
     instant m_idle_since {};
-    instant m_kept_until {};
+    instant m_reusable_until {};
 };
 
 } // namespace shedhill::relay
--- a/libraries/relay/caller_connection.cpp
+++ b/libraries/relay/caller_connection.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Requests in, answers out.
+// Parses requests from a caller and writes the answers.
 #include "libraries/relay/caller_connection.h"
 
 namespace shedhill::relay {
@@ -9,10 +9,10 @@
 constexpr unsigned status_bad_request = 400;
 constexpr unsigned status_too_large = 413;
 constexpr unsigned status_header_too_large = 431;
-// What a caller may send ahead while an answer is under way.
-constexpr std::size_t most_ahead = 65536;
-// What may wait for a caller that does not read.
-constexpr std::size_t most_unwritten = 1U << 20U;
+// Limit of the bytes that a caller may pipeline while an answer is in progress.
+constexpr std::size_t max_pipelined_bytes = 65536;
+// Limit of the bytes that may wait for a caller that does not read; beyond it the connection is closed.
+constexpr std::size_t max_unwritten_bytes = 1U << 20U;
 
 unsigned status_of(boost::system::error_code failure)
 {
@@ -50,56 +50,56 @@
     auto const self = shared_from_this();
     if (ready.is_writable)
         flush();
-    if (m_is_gone || !(ready.is_readable || ready.is_closed))
+    if (m_is_closed || !(ready.is_readable || ready.is_closed))
         return;
-    // A caller that has closed takes no answer: what it sent before, and nobody had time to read, is not taken up.
+    // A caller that has closed its connection accepts no answer, so requests that it sent before are not read.
     if (ready.is_closed)
-        return be_gone();
+        return disconnect();
     auto const [bytes, end] = m_socket.read();
     if (end != read_end::drained)
-        return be_gone();
+        return disconnect();
     if (bytes.empty())
         return;
     m_last_activity = m_loop.now();
-    m_in += bytes;
-    if (m_is_answering && m_in.size() > most_ahead)
+    m_input += bytes;
+    if (m_is_answering && m_input.size() > max_pipelined_bytes)
         m_socket.set_reading(false);
     read_requests();
 }
 
 void caller_connection::read_requests()
 {
-    // An answer that is given at once leads back here: the outer call goes on with the next request.
-    if (m_is_reading)
+    // An answer that the listener completes at once calls this function again; the outer call reads the next request.
+    if (m_is_parsing)
         return;
-    m_is_reading = true;
-    while (!m_is_answering && !m_is_gone && !m_in.empty()) {
+    m_is_parsing = true;
+    while (!m_is_answering && !m_is_closed && !m_input.empty()) {
         boost::system::error_code failure;
-        auto const used = m_parser->put(boost::asio::buffer(m_in), failure);
-        m_in.erase(0, used);
+        auto const used = m_parser->put(boost::asio::buffer(m_input), failure);
+        m_input.erase(0, used);
         if (failure && failure != http::error::need_more) {
             m_is_answering = true;
-            m_closes = true;
+            m_closes_after_answer = true;
             m_listener.on_bad_request(*this, status_of(failure));
             break;
         }
         if (!m_parser->is_done()) {
             if (m_parser->is_header_done() && field_of(m_parser->get().base(), "Expect") == "100-continue"
-                && m_in.empty() && m_parser->get().body().empty())
+                && m_input.empty() && m_parser->get().body().empty())
                 out() += "HTTP/1.1 100 Continue\r\n\r\n";
-            if (used == 0 || m_in.empty())
+            if (used == 0 || m_input.empty())
                 break;
             continue;
         }
         m_is_answering = true;
-        m_closes = m_closes || !m_parser->keep_alive();
+        m_closes_after_answer = m_closes_after_answer || !m_parser->keep_alive();
         auto request = m_parser->release();
         begin_request();
         m_listener.on_request(*this, std::move(request));
     }
-    if (m_in.empty())
-        release(m_in);
-    m_is_reading = false;
+    if (m_input.empty())
+        clear_buffer(m_input);
+    m_is_parsing = false;
 }
 
 std::string& caller_connection::out()
@@ -114,9 +114,9 @@
         return;
     m_is_flush_scheduled = true;
     m_loop.at_end_of_round([self = weak_from_this()] {
-        if (auto const alive = self.lock(); alive && !alive->m_is_gone) {
-            alive->m_is_flush_scheduled = false;
-            alive->flush();
+        if (auto const connection = self.lock(); connection && !connection->m_is_closed) {
+            connection->m_is_flush_scheduled = false;
+            connection->flush();
         }
     });
 }
@@ -124,10 +124,10 @@
 void caller_connection::flush()
 {
     m_last_activity = m_loop.now();
-    if (!m_socket.flush() || m_socket.unwritten_size() > most_unwritten)
-        return be_gone();
-    if (m_closes && !m_is_answering && !m_socket.has_unwritten())
-        be_gone();
+    if (!m_socket.flush() || m_socket.unwritten_size() > max_unwritten_bytes)
+        return disconnect();
+    if (m_closes_after_answer && !m_is_answering && !m_socket.has_unwritten())
+        disconnect();
 }
 
 void caller_connection::finish_answer()
@@ -135,38 +135,38 @@
     m_is_answering = false;
     m_socket.set_reading(true);
     schedule_flush();
-    if (!m_closes)
+    if (!m_closes_after_answer)
         read_requests();
 }
 
-void caller_connection::break_off()
+void caller_connection::abort_answer()
 {
     m_is_answering = false;
-    // What was whole of the answer still reaches the caller; its end is missing, which a close shows.
-    m_closes = true;
+    // The bytes written so far still reach the caller. The close without an end of the answer shows it is incomplete.
+    m_closes_after_answer = true;
     schedule_flush();
 }
 
 void caller_connection::close_idle()
 {
     if (!m_is_answering)
-        be_gone();
+        disconnect();
 }
 
-void caller_connection::let_go()
+void caller_connection::close_after_flush()
 {
-    m_closes = true;
-    if (!m_is_gone)
+    m_closes_after_answer = true;
+    if (!m_is_closed)
         flush();
 }
 
-void caller_connection::be_gone()
+void caller_connection::disconnect()
 {
-    if (m_is_gone)
+    if (m_is_closed)
         return;
-    m_is_gone = true;
+    m_is_closed = true;
     m_socket.close();
-    m_listener.on_caller_gone(*this);
+    m_listener.on_caller_disconnected(*this);
 }
 
 } // namespace shedhill::relay
--- a/libraries/relay/caller_connection.h
+++ b/libraries/relay/caller_connection.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A caller's connection: reads one request after another, whole, and writes answers.
+// A caller's connection: reads one whole request after another and writes the answers.
 #pragma once
 
 #include "libraries/relay/http_message.h"
@@ -18,10 +18,11 @@
 public:
     virtual ~caller_listener() = default;
     virtual void on_request(caller_connection& connection, caller_request request) = 0;
-    // What was read is no request. The listener answers; the connection is closed after that.
+    // The input is not a valid request; `status` is the HTTP status to answer with. The listener answers, after which
+    // the connection is closed.
     virtual void on_bad_request(caller_connection& connection, unsigned status) = 0;
-    // The caller has gone. Nothing more is called for this connection.
-    virtual void on_caller_gone(caller_connection& connection) = 0;
+    // The connection is closed. No further callback follows for it.
+    virtual void on_caller_disconnected(caller_connection& connection) = 0;
 };
 
 struct read_limits {
@@ -37,29 +38,30 @@
 
     [[nodiscard]] std::uint64_t number() const { return m_number; }
     [[nodiscard]] bool is_answering() const { return m_is_answering; }
-    // Since when nothing was read or written, and whether a request has begun to come in.
+    // The time of the last read or write.
     [[nodiscard]] instant last_activity() const { return m_last_activity; }
-    [[nodiscard]] bool has_begun_request() const { return !m_in.empty(); }
-    // The caller asked for, or was told of, a close after this answer.
-    [[nodiscard]] bool closes_after_answer() const { return m_closes; }
-    void close_after_answer() { m_closes = true; }
+    // Returns whether bytes of a request that was not yet passed to the listener have arrived.
+    [[nodiscard]] bool has_partial_request() const { return !m_input.empty(); }
+    // Returns whether the connection closes after this answer, at the caller's or the router's request.
+    [[nodiscard]] bool closes_after_answer() const { return m_closes_after_answer; }
+    void close_after_answer() { m_closes_after_answer = true; }
 
-    // Bytes of an answer; written at the end of the round.
+    // Returns the buffer for bytes of an answer, which is written at the end of the loop's round.
     std::string& out();
-    // The answer is whole: the next request is read, or the connection closed.
+    // Completes the answer: reads the next request, or closes the connection if that was requested.
     void finish_answer();
-    // Breaks the answer off so that the caller sees it.
-    void break_off();
-    // Closes at once, unless an answer is under way.
+    // Ends an incomplete answer by closing the connection, which shows the caller that its end is missing.
+    void abort_answer();
+    // Closes at once, unless an answer is in progress.
     void close_idle();
-    // Closes once the answer under way is whole and all of it is written, or at once where there is nothing to write.
-    void let_go();
-    // Bytes of an answer wait to be written.
-    [[nodiscard]] bool has_unwritten() const { return !m_is_gone && m_socket.has_unwritten(); }
+    // Closes once the answer in progress is complete and written, or at once if there is nothing to write.
+    void close_after_flush();
+    // Returns whether bytes of an answer are waiting to be written.
+    [[nodiscard]] bool has_unwritten() const { return !m_is_closed && m_socket.has_unwritten(); }
 
-    [[nodiscard]] std::size_t unwritten_size() const { return m_is_gone ? 0 : m_socket.unwritten_size(); }
-    // Ends the connection where it is: the caller does not read, and sees that its answer is not whole.
-    void drop() { be_gone(); }
+    [[nodiscard]] std::size_t unwritten_size() const { return m_is_closed ? 0 : m_socket.unwritten_size(); }
+    // Closes at once in the middle of an answer, for a caller that does not read. It sees an incomplete answer.
+    void abort_connection() { disconnect(); }
 
     void set_limits(read_limits limits) { m_limits = limits; }
 
@@ -69,20 +71,20 @@
     void begin_request();
     void schedule_flush();
     void flush();
-    void be_gone();
+    void disconnect();
 
     event_loop& m_loop;
     std::uint64_t m_number;
     caller_listener& m_listener;
     read_limits m_limits;
     socket m_socket;
-    std::string m_in;
+    std::string m_input;
     std::optional<http::request_parser<http::string_body>> m_parser;
     bool m_is_answering { false };
-    bool m_closes { false };
+    bool m_closes_after_answer { false };
     bool m_is_flush_scheduled { false };
-    bool m_is_reading { false };
-    bool m_is_gone { false };
+    bool m_is_parsing { false };
+    bool m_is_closed { false };
     instant m_last_activity {};
 };
 
--- a/libraries/relay/deployment.h
+++ b/libraries/relay/deployment.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a router process is told of its place: addresses, failure domain, the store, and the bounds it is held to.
+// The settings of a router process in its deployment: addresses, failure domain, the store, and operating limits.
 #pragma once
 
 #include "base/identifiers.h"
@@ -15,39 +15,40 @@
 struct deployment_settings {
     vm_name vm;
     failure_domain domain;
-    // Of each failure domain; empty where the deployment tells none.
+    // The region of each failure domain; empty if the deployment names none.
     dispatch::region_map regions;
-    // Where callers connect, where readiness is asked for, and where other routers connect.
+    // Addresses at which this router listens for callers, for readiness checks, and for other routers.
     std::string caller_address;
     std::string ready_address;
     std::string peer_address;
-    // Where counters are served; empty for nowhere.
+    // The address at which metrics are served; empty to serve none.
     std::string metrics_address;
     std::string store_address;
-    // Peer addresses of some routers; perhaps out of date.
+    // Peer addresses of some routers; they may be out of date.
     std::vector<std::string> seeds;
-    // From the request to stop until the process is ended.
+    // Time from the request to stop until the process is killed.
     milliseconds stop_time { 8000 };
-    // Retries of the whole fleet within a window: a share of the requests, and some more.
+    // The fleet's retry budget within a window: a fraction of the requests plus a constant number of retries.
     double retry_ratio { 0.1 };
     double retry_slack { 10 };
     milliseconds retry_window { 10000 };
-    // In any second the whole fleet may send a cold endpoint so many times what it bears, and some more.
+    // What the whole fleet may send to a cold endpoint in any second: a multiple of what the endpoint can sustain, plus
+    // a constant number of requests.
     double cold_overage { 1 };
     double cold_slack { 0 };
-    // From the store's word that an endpoint leaves until no request may reach it any more.
+    // Time from the store's announcement that an endpoint leaves until no request may be sent to it any more.
     milliseconds leaving_bound { 2000 };
-    // Over which teams' shares are judged.
+    // The window over which the teams' shares are measured.
     milliseconds share_window { 4000 };
-    std::size_t descriptors { 1024 };
-    // Of the VM; 0 where it is not told.
+    std::size_t file_descriptor_limit { 1024 };
+    // The VM's memory; 0 if the deployment does not name it.
     std::size_t memory_bytes { 0 };
-    // What the VM's link carries in each direction; 0 where it is not told.
+    // The capacity of the VM's link in each direction; 0 if the deployment does not name it.
     double link_megabits_per_second { 0 };
-    // Up to so many routers are connected all to all; more exchange sums between failure domains.
-    std::size_t most_in_full_mesh { 12 };
-    // Of a core, that the process may use; 0 where it is not told.
-    double processor_share { 0 };
+    // Up to this number of routers form a full mesh; a larger fleet exchanges sums between failure domains.
+    std::size_t max_full_mesh_routers { 12 };
+    // Processor cores, or a fraction of one, that the process may use; 0 if the deployment does not name it.
+    double cpu_cores { 0 };
 
     bool operator==(deployment_settings const&) const = default;
 };
--- a/libraries/relay/endpoint_probes.cpp
+++ b/libraries/relay/endpoint_probes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One socket for each probe.
+// Implements each probe as a socket that is closed once its connection succeeds or fails.
 #include "libraries/relay/endpoint_probes.h"
 
 #include <utility>
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr milliseconds answer_limit { 160 };
+constexpr milliseconds probe_timeout { 160 };
 
 } // namespace
 
 class endpoint_probes::probe final : io_handler {
 public:
-    probe(endpoint_probes& owner, event_loop& loop, endpoint_key start)
+    probe(endpoint_probes& owner, event_loop& loop, endpoint_key instance)
         : m_owner(owner)
-        , m_start(start)
+        , m_instance(instance)
         , m_started_at(loop.now())
         , m_socket(loop, *this)
     {
@@ -35,7 +35,7 @@
 private:
     void on_ready(readiness /*ready*/) override
     {
-        if (m_socket.has_connected())
+        if (m_socket.finish_connect())
             return end(dispatch::probe_outcome::accepted);
         end(m_socket.was_refused() ? dispatch::probe_outcome::refused : dispatch::probe_outcome::no_answer);
     }
@@ -44,11 +44,11 @@
     {
         m_is_over = true;
         m_socket.close();
-        m_owner.finish(m_start, outcome);
+        m_owner.finish(m_instance, outcome);
     }
 
     endpoint_probes& m_owner;
-    endpoint_key m_start;
+    endpoint_key m_instance;
     instant m_started_at;
     bool m_is_over { false };
     socket m_socket;
@@ -62,28 +62,28 @@
 
 endpoint_probes::~endpoint_probes() = default;
 
-void endpoint_probes::start(endpoint_key start, std::string const& address)
+void endpoint_probes::start(endpoint_key instance, std::string const& address)
 {
-    auto& kept = m_probes[start];
-    kept = std::make_unique<probe>(*this, m_loop, start);
-    kept->connect(address);
+    auto& active_probe = m_probes[instance];
+    active_probe = std::make_unique<probe>(*this, m_loop, instance);
+    active_probe->connect(address);
 }
 
-void endpoint_probes::check_time(instant now)
+void endpoint_probes::check_timeouts(instant now)
 {
-    std::vector<endpoint_key> unanswered;
-    for (auto const& [start, kept] : m_probes) {
-        if (!kept->is_over() && now - kept->started_at() >= answer_limit)
-            unanswered.push_back(start);
+    std::vector<endpoint_key> timed_out;
+    for (auto const& [instance, active_probe] : m_probes) {
+        if (!active_probe->is_over() && now - active_probe->started_at() >= probe_timeout)
+            timed_out.push_back(instance);
     }
-    // Those that are over may be on the stack when they end, and go here.
+    // A probe that ends may still be on the call stack, so finished probes are destroyed here.
     std::erase_if(m_probes, [](auto const& entry) { return entry.second->is_over(); });
-    for (auto const start : unanswered) {
-        m_probes.erase(start);
-        finish(start, dispatch::probe_outcome::no_answer);
+    for (auto const instance : timed_out) {
+        m_probes.erase(instance);
+        finish(instance, dispatch::probe_outcome::no_answer);
     }
 }
 
-void endpoint_probes::finish(endpoint_key start, dispatch::probe_outcome outcome) { m_done(start, outcome); }
+void endpoint_probes::finish(endpoint_key instance, dispatch::probe_outcome outcome) { m_done(instance, outcome); }
 
 } // namespace shedhill::relay
--- a/libraries/relay/endpoint_probes.h
+++ b/libraries/relay/endpoint_probes.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Connections that are opened to see whether an endpoint still listens, and closed at once.
+// Probes whether endpoints still listen, by opening a connection to each and closing it at once.
 #pragma once
 
 #include "libraries/dispatch/suspects/crash_evidence.h"
@@ -13,22 +13,22 @@
 
 class endpoint_probes {
 public:
-    using done_function = std::function<void(endpoint_key start, dispatch::probe_outcome outcome)>;
+    using done_function = std::function<void(endpoint_key instance, dispatch::probe_outcome outcome)>;
 
     endpoint_probes(event_loop& loop, done_function done);
     ~endpoint_probes();
     endpoint_probes(endpoint_probes const&) = delete;
     endpoint_probes& operator=(endpoint_probes const&) = delete;
 
-    // One at a time for each start.
-    void start(endpoint_key start, std::string const& address);
-    // Ends those that have had no answer for too long.
-    void check_time(instant now);
+    // Starts a probe of an endpoint instance. Only one probe may be in progress for each instance.
+    void start(endpoint_key instance, std::string const& address);
+    // Ends probes that have timed out, with the outcome no_answer, and releases finished ones.
+    void check_timeouts(instant now);
 
 private:
     class probe;
 
-    void finish(endpoint_key start, dispatch::probe_outcome outcome);
+    void finish(endpoint_key instance, dispatch::probe_outcome outcome);
 
     event_loop& m_loop;
     done_function m_done;
--- a/libraries/relay/event_loop.cpp
+++ b/libraries/relay/event_loop.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The loop by epoll.
+// Implements the event loop with epoll.
 #include "libraries/relay/event_loop.h"
 
 #include "base/verify.h"
@@ -40,7 +40,7 @@
     , m_started_ns(time_ns())
     , m_busy_since_ns(m_started_ns)
 {
-    verify(m_poll >= 0, "the system gives a poll descriptor");
+    verify(m_poll >= 0, "epoll_create1 returns a descriptor");
     refresh_now();
 }
 
@@ -57,14 +57,14 @@
     m_now = instant(milliseconds((time_ns - m_started_ns) / ns_per_ms + first_ms));
 }
 
-double event_loop::take_busy_part()
+double event_loop::take_busy_fraction()
 {
     auto const now = time_ns();
-    auto const passed = std::max<std::int64_t>(now - std::exchange(m_busy_since_ns, now), 1);
-    return 1 - static_cast<double>(std::exchange(m_waited_ns, 0)) / static_cast<double>(passed);
+    auto const elapsed = std::max<std::int64_t>(now - std::exchange(m_busy_since_ns, now), 1);
+    return 1 - static_cast<double>(std::exchange(m_waited_ns, 0)) / static_cast<double>(elapsed);
 }
 
-double event_loop::take_link_part() { return m_link.take_part(time_ns()); }
+double event_loop::take_link_fraction() { return m_link.take_fraction(time_ns()); }
 
 watch_id event_loop::watch(int descriptor, io_handler& handler, interest wanted)
 {
@@ -84,7 +84,7 @@
     return watched;
 }
 
-void event_loop::change(watch_id watched, int descriptor, interest wanted)
+void event_loop::change_interest(watch_id watched, int descriptor, interest wanted)
 {
     epoll_event event {};
     event.events = to_epoll(wanted);
@@ -92,10 +92,10 @@
     epoll_ctl(m_poll, EPOLL_CTL_MOD, descriptor, &event);
 }
 
-void event_loop::forget(watch_id watched, int descriptor)
+void event_loop::unwatch(watch_id watched, int descriptor)
 {
     auto& slot = m_slots[watched.slot];
-    verify(slot.generation == watched.generation, "a socket is forgotten once");
+    verify(slot.generation == watched.generation, "a socket is unwatched at most once");
     slot.handler = nullptr;
     ++slot.generation;
     m_free_slots.push_back(watched.slot);
@@ -106,11 +106,11 @@
 void event_loop::run_once(milliseconds limit)
 {
     std::array<epoll_event, events_per_round> events {};
-    auto const waits_from = time_ns();
+    auto const wait_started_ns = time_ns();
     auto const count = epoll_wait(m_poll, events.data(), events_per_round, static_cast<int>(limit.count()));
-    auto const waited_until = time_ns();
-    m_waited_ns += waited_until - waits_from;
-    set_now(waited_until);
+    auto const wait_ended_ns = time_ns();
+    m_waited_ns += wait_ended_ns - wait_started_ns;
+    set_now(wait_ended_ns);
     for (int index = 0; index < count; ++index) {
         auto const& event = events[static_cast<std::size_t>(index)];
         auto const& slot = m_slots[static_cast<std::uint32_t>(event.data.u64)];
--- a/libraries/relay/event_loop.h
+++ b/libraries/relay/event_loop.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Waits for many sockets at once, on one thread. Level-triggered, and without a system call for a socket whose interest
-// does not change: events of streams are the most frequent thing a router handles (docs/PLATFORM.md has the figures).
+// Waits for events of many sockets on one thread. The loop is level-triggered and makes no system call for a socket
+// whose interest does not change, since events of streams are what a router handles most often (docs/PLATFORM.md has
+// the figures).
 #pragma once
 
 #include "base/boot_clock.h"
@@ -16,7 +17,7 @@
 
 namespace shedhill::relay {
 
-// What a socket is waited for.
+// The events that the loop waits for on a socket.
 enum class interest : std::uint32_t {
     nothing = 0,
     reading = 1,
@@ -37,7 +38,7 @@
     virtual void on_ready(readiness ready) = 0;
 };
 
-// Names one watched socket. A number is used again only with another generation.
+// Identifies one watched socket. A slot is reused only with a new generation.
 struct watch_id {
     std::uint32_t slot { 0 };
     std::uint32_t generation { 0 };
@@ -55,28 +56,28 @@
     event_loop& operator=(event_loop const&) = delete;
 
     watch_id watch(int descriptor, io_handler& handler, interest wanted);
-    void change(watch_id watched, int descriptor, interest wanted);
-    // Must be called before the descriptor is closed. Events of this round that were not yet handled are dropped.
-    void forget(watch_id watched, int descriptor);
+    void change_interest(watch_id watched, int descriptor, interest wanted);
+    // Must be called before the descriptor is closed. Pending events of the socket in the current round are dropped.
+    void unwatch(watch_id watched, int descriptor);
 
-    // Waits at most so long and handles what is ready.
+    // Waits for events for at most `limit` and handles them.
     void run_once(milliseconds limit);
-    // Called at the end of the round, once. Actions that other actions ask for come in the same round.
+    // Calls the action once at the end of the current round. An action that another one adds runs in the same round.
     void at_end_of_round(std::function<void()> action) { m_at_end.push_back(std::move(action)); }
 
-    // Time since the loop was made, plus one second, so that no event carries the instant that means "never".
+    // The time since the loop was created, plus one second, so that no event has the zero instant, which means "never".
     [[nodiscard]] instant now() const { return m_now; }
     void refresh_now();
-    // The part of the time since the last call in which the loop did not wait, from 0 to 1.
-    [[nodiscard]] double take_busy_part();
-    // What all sockets of the loop carry.
+    // Returns the fraction of the time since the last call in which the loop did not wait, from 0 to 1.
+    [[nodiscard]] double take_busy_fraction();
+    // Meters the traffic of all sockets of the loop.
     [[nodiscard]] link_meter& link() { return m_link; }
-    // What is held for all peers of the loop.
+    // Counts the bytes that are buffered for all peers of the loop.
     [[nodiscard]] held_meter& held() { return m_held; }
-    // The part of the link that was in use since the last call, from 0 to 1.
-    [[nodiscard]] double take_link_part();
+    // Returns the fraction of the link's capacity that was used since the last call, from 0 to 1.
+    [[nodiscard]] double take_link_fraction();
 
-    // One buffer for all reads: what is read is handled before the next read.
+    // The buffer that all reads share: received bytes are handled before the next read.
     [[nodiscard]] std::array<char, read_buffer_size>& read_buffer() { return m_read_buffer; }
 
 private:
--- a/libraries/relay/event_stream.cpp
+++ b/libraries/relay/event_stream.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Events end at an empty line.
+// Parses event streams, in which an empty line ends each event.
 #include "libraries/relay/event_stream.h"
 
 #include <charconv>
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::string_view id_name = "id:";
+constexpr std::string_view id_field = "id:";
 
-// The end of the first whole event of the text, or npos.
+// Returns the end of the first complete event of the text, or npos.
 std::size_t end_of_event(std::string_view text)
 {
     auto const plain = text.find("\n\n");
@@ -27,9 +27,9 @@
         auto const end = std::min(event.find('\n', start), event.size());
         auto line = event.substr(start, end - start);
         start = end + 1;
-        if (!line.starts_with(id_name))
+        if (!line.starts_with(id_field))
             continue;
-        line.remove_prefix(id_name.size());
+        line.remove_prefix(id_field.size());
         while (line.starts_with(' '))
             line.remove_prefix(1);
         if (line.ends_with('\r'))
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::uint32_t event_stream::take(std::string_view data, std::string& whole)
+std::uint32_t event_stream::feed(std::string_view data, std::string& whole_events)
 {
     std::string joined;
     if (!m_partial.empty()) {
@@ -56,7 +56,7 @@
         data.remove_prefix(end);
         if (!is_next(event))
             continue;
-        whole += event;
+        whole_events += event;
         ++events;
     }
     m_partial = data;
--- a/libraries/relay/event_stream.h
+++ b/libraries/relay/event_stream.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Cuts the body of a stream into whole events and remembers the last one's id. An endpoint may stop in the middle of an
-// event; what is not whole is never passed on.
+// Splits the body of an event stream into complete events and records the id of the last one. An endpoint may stop in
+// the middle of an event; incomplete events are never forwarded.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 class event_stream {
 public:
-    // Takes bytes of the body and appends to `whole` the events that are complete by now, without those whose ids are
-    // not above the last one passed on. Returns how many events were appended.
-    std::uint32_t take(std::string_view data, std::string& whole);
+    // Parses bytes of the body and appends the events that are now complete to `whole_events`. Skips events with a
+    // numeric id that is not above the last one forwarded. Returns the number of events that were appended.
+    std::uint32_t feed(std::string_view data, std::string& whole_events);
 
-    // Bytes of an event that is not yet whole.
+    // Returns the bytes of the event that is not yet complete.
     [[nodiscard]] std::string const& partial() const { return m_partial; }
-    // Another endpoint takes the stream up after the last whole event.
+    // Discards the incomplete event, since another endpoint resumes the stream after the last complete one.
     void drop_partial() { m_partial.clear(); }
     [[nodiscard]] std::string const& last_id() const { return m_last_id; }
-    // Events passed on whose ids did not follow one another: pieces between them are missing.
+    // Returns whether the numeric ids of the forwarded events have a gap, so that events between them are missing.
     [[nodiscard]] bool has_gap() const { return m_has_gap; }
 
 private:
--- a/libraries/relay/exchange.h
+++ b/libraries/relay/exchange.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One caller's request while it is served: what is sent to an endpoint, and what comes back and is passed on. Which
-// endpoint, whether again, and what a failure means is the dispatcher's.
+// One caller's request while it is served: sends attempts to endpoints and forwards the answer to the caller. The
+// dispatcher chooses the endpoint, decides about retries, and interprets failures.
 #pragma once
 
 #include "libraries/dispatch/effects.h"
@@ -14,18 +14,18 @@
 
 namespace shedhill::relay {
 
-// What an exchange tells its owner.
+// Receives the events of an exchange.
 class exchange_owner {
 public:
     virtual ~exchange_owner() = default;
-    virtual void on_event(dispatch::event_body happened) = 0;
-    // The endpoint's connection is free again.
+    virtual void on_event(dispatch::event_body event) = 0;
+    // The connection to the endpoint can be reused.
     virtual void on_connection_free(dispatch::send_attempt const& attempt, std::shared_ptr<call_connection> connection)
         = 0;
-    // Whether the content of requests that are answered is of use.
+    // Returns whether the content hash of answered requests is needed, because some requests are suspects.
     [[nodiscard]] virtual bool suspects_requests() const = 0;
-    // The answer has ended, well or badly; the exchange is to be dropped.
-    virtual void on_exchange_over(request_number request) = 0;
+    // The answer has ended, complete or not; the owner destroys the exchange.
+    virtual void on_exchange_finished(request_number request) = 0;
 };
 
 template <caller_protocol Binding>
@@ -53,23 +53,23 @@
         drop_attempt();
         m_attempt = std::move(attempt);
         m_connection = std::move(connection);
-        m_events_of_attempt = 0;
+        m_attempt_events = 0;
         m_body.clear();
         m_held.set(m_request.body().size());
         m_stream.drop_partial();
         m_started_at = m_loop.now();
-        m_progress_at = m_started_at;
+        m_last_progress_at = m_started_at;
         m_has_stalled = false;
         std::string call;
         attempt_fields fields { m_attempt.endpoint, m_attempt.team, m_attempt.time_left, {}, m_request.body().size() };
-        if (m_has_head_passed)
+        if (m_is_head_sent)
             fields.resume_after = m_stream.last_id();
         Binding::append_call(call, m_request, fields);
         call += m_request.body();
         m_connection->start(m_attempt.address, std::move(call), *this);
     }
 
-    // Drops what is under way. The connection is closed: the endpoint stops its work.
+    // Cancels the attempt in progress by closing its connection, at which the endpoint stops its work.
     void drop_attempt()
     {
         if (m_connection)
@@ -83,63 +83,65 @@
             m_caller->closes_after_answer() };
         Binding::append_refusal(m_caller->out(), fields, m_request);
         m_caller->finish_answer();
-        m_owner.on_exchange_over(m_number);
+        m_owner.on_exchange_finished(m_number);
     }
 
-    // The endpoint's own failure, which was kept back until it was known that it is final.
-    void pass_kept_answer()
+    // Forwards the endpoint's failure answer, which was withheld until the dispatcher decided not to retry.
+    void forward_withheld_answer()
     {
-        pass_whole_answer();
-        m_owner.on_exchange_over(m_number);
+        forward_whole_answer();
+        m_owner.on_exchange_finished(m_number);
     }
 
-    void break_off()
+    void abort_answer()
     {
-        m_caller->break_off();
-        m_owner.on_exchange_over(m_number);
+        m_caller->abort_answer();
+        m_owner.on_exchange_finished(m_number);
     }
 
-    // Looks for connections that do not come up and endpoints that have fallen silent.
-    void check_time(instant now, milliseconds connect_limit)
+    // Ends an attempt whose connection is not established in time, and reports an attempt whose endpoint sends nothing
+    // for longer than its silence limit.
+    void check_timeouts(instant now, milliseconds connect_timeout)
     {
         if (!m_connection)
             return;
         if (m_connection->is_connecting()) {
-            if (now - m_started_at >= connect_limit) {
+            if (now - m_started_at >= connect_timeout) {
                 drop_attempt();
                 end_attempt(dispatch::attempt_end::not_sent);
             }
             return;
         }
-        if (m_has_stalled || now - m_progress_at < m_attempt.silence_limit)
+        if (m_has_stalled || now - m_last_progress_at < m_attempt.silence_limit)
             return;
         m_has_stalled = true;
-        m_owner.on_event(dispatch::attempt_stalled { m_number, m_attempt.attempt, m_has_head_passed });
+        m_owner.on_event(dispatch::attempt_stalled { m_number, m_attempt.attempt, m_is_head_sent });
     }
 
 private:
-    head_choice on_head(answer_head const& head) override
+    head_decision on_head(answer_head const& head) override
     {
         m_status = static_cast<std::uint16_t>(head.result_int());
         m_kind = Binding::kind_of(head, m_request);
-        tell_notice(head);
+        report_notice(head);
         if (m_kind == answer_kind::other_call)
-            return head_choice::skip;
+            return head_decision::skip;
         if (m_kind == answer_kind::invalid)
-            return head_choice::refuse;
-        m_progress_at = m_loop.now();
-        m_head = head;
-        m_is_stream = m_kind == answer_kind::answer && m_status < first_status_not_good
+            return head_decision::reject;
+        m_last_progress_at = m_loop.now();
+        m_answer_head = head;
+        m_is_stream = m_kind == answer_kind::answer && m_status < first_status_not_success
             && field_of(head, "Content-Type").starts_with("text/event-stream");
-        // A stream that was begun goes on only with more of a stream.
-        if (m_has_head_passed && !m_is_stream && m_kind == answer_kind::answer)
-            return head_choice::refuse;
-        return head_choice::take;
+        // A stream of which the caller has received a part can only be resumed by another stream.
+        if (m_is_head_sent && !m_is_stream && m_kind == answer_kind::answer)
+            return head_decision::reject;
+        return head_decision::accept;
     }
 
-    // Also of an answer that is not passed on, or came too late for its own call: the connection is this start's alone.
-    // Where another endpoint answers at the address, its word is not of the one that was meant.
-    void tell_notice(answer_head const& head)
+    // Reports the endpoint's notice. The notice of an answer that is not forwarded or belongs to an earlier call counts
+    // too, since the connection belongs to this endpoint instance alone. The notice of a wrong endpoint does not count,
+    // since another endpoint sent it.
+    void report_notice(answer_head const& head)
     {
         if (m_kind == answer_kind::wrong_endpoint)
             return;
@@ -149,7 +151,7 @@
 
     void on_data(std::string_view data) override
     {
-        m_progress_at = m_loop.now();
+        m_last_progress_at = m_loop.now();
         m_has_stalled = false;
         if (!m_is_stream) {
             m_body += data;
@@ -157,17 +159,17 @@
             return;
         }
         m_whole_events.clear();
-        auto const events = m_stream.take(data, m_whole_events);
+        auto const events = m_stream.feed(data, m_whole_events);
         if (events == 0)
             return;
         if (m_stream.has_gap()) {
             drop_attempt();
             return end_attempt(dispatch::attempt_end::broken);
         }
-        bool const is_first = m_events_of_attempt == 0;
-        m_events_of_attempt += events;
-        if (!m_has_head_passed) {
-            m_has_head_passed = true;
+        bool const is_first = m_attempt_events == 0;
+        m_attempt_events += events;
+        if (!m_is_head_sent) {
+            m_is_head_sent = true;
             append_head("Transfer-Encoding", "chunked");
         }
         append_chunk(m_caller->out(), m_whole_events);
@@ -191,7 +193,7 @@
         finish_answer();
     }
 
-    void pass_whole_answer()
+    void forward_whole_answer()
     {
         append_head("Content-Length", std::to_string(m_body.size()));
         m_caller->out() += m_body;
@@ -203,8 +205,8 @@
         if (!m_is_stream && m_status >= first_server_error)
             return end_attempt(dispatch::attempt_end::failed);
         if (m_is_stream) {
-            if (!m_has_head_passed) {
-                m_has_head_passed = true;
+            if (!m_is_head_sent) {
+                m_is_head_sent = true;
                 append_head("Transfer-Encoding", "chunked");
             }
             if (!m_stream.partial().empty())
@@ -212,18 +214,18 @@
             append_last_chunk(m_caller->out());
             m_caller->finish_answer();
         } else {
-            pass_whole_answer();
+            forward_whole_answer();
         }
         end_attempt(dispatch::attempt_end::complete);
-        m_owner.on_exchange_over(m_number);
+        m_owner.on_exchange_finished(m_number);
     }
 
     void append_head(std::string_view framing_name, std::string_view framing)
     {
         auto& out = m_caller->out();
-        append_status_line(out, m_status, to_view(m_head.reason()));
-        for (auto const& field : m_head) {
-            if (!concerns_connection(field))
+        append_status_line(out, m_status, to_view(m_answer_head.reason()));
+        for (auto const& field : m_answer_head) {
+            if (!is_hop_by_hop(field))
                 append_field(out, to_view(field.name_string()), to_view(field.value()));
         }
         append_field(out, framing_name, framing);
@@ -235,15 +237,15 @@
     void end_attempt(dispatch::attempt_end end)
     {
         m_connection.reset();
-        dispatch::attempt_ended ended { m_number, m_attempt.attempt, end, m_status,
-            std::exchange(m_events_of_attempt, 0), m_has_head_passed };
+        dispatch::attempt_ended ended { m_number, m_attempt.attempt, end, m_status, std::exchange(m_attempt_events, 0),
+            m_is_head_sent };
         bool const may_clear = end == dispatch::attempt_end::complete && m_owner.suspects_requests();
         if (end == dispatch::attempt_end::broken || may_clear)
             ended.content = content_of(m_request);
         m_owner.on_event(ended);
     }
 
-    static constexpr std::uint16_t first_status_not_good = 300;
+    static constexpr std::uint16_t first_status_not_success = 300;
     static constexpr std::uint16_t first_server_error = 500;
 
     event_loop& m_loop;
@@ -255,21 +257,21 @@
     dispatch::send_attempt m_attempt;
     std::shared_ptr<call_connection> m_connection;
     instant m_started_at {};
-    instant m_progress_at {};
+    instant m_last_progress_at {};
     bool m_has_stalled { false };
     answer_kind m_kind { answer_kind::invalid };
     std::uint16_t m_status { 0 };
-    answer_head m_head;
+    answer_head m_answer_head;
     bool m_is_stream { false };
-    std::uint32_t m_events_of_attempt { 0 };
+    std::uint32_t m_attempt_events { 0 };
     event_stream m_stream;
     std::string m_whole_events;
-    // The body of an answer that is no stream, kept back until it is whole.
+    // The body of an answer that is not a stream, withheld until it is complete.
     std::string m_body;
-    // The request's body and that of the answer.
+    // Accounts for the bodies of the request and of the answer.
     held_bytes m_held;
-    // Invariant: once true, the head is never written again.
-    bool m_has_head_passed { false };
+    // Whether the answer's head was sent to the caller. Invariant: once true, no head is written again.
+    bool m_is_head_sent { false };
 };
 
 } // namespace shedhill::relay
--- a/libraries/relay/http_message.cpp
+++ b/libraries/relay/http_message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Writing of heads and chunks.
+// Writes heads and chunks.
 #include "libraries/relay/http_message.h"
 
 #include <array>
@@ -7,7 +7,7 @@
 
 namespace shedhill::relay {
 
-bool concerns_connection(http::fields::value_type const& field)
+bool is_hop_by_hop(http::fields::value_type const& field)
 {
     switch (field.name()) {
     case http::field::connection:
--- a/libraries/relay/link_meter.h
+++ b/libraries/relay/link_meter.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// How full the VM's link is, by the bytes that this process's sockets carry. A full link makes every connection slow
-// and every endpoint look ill, while the processor has time: nothing else that a process sees of itself shows it.
+// Measures the utilisation of the VM's link by the bytes that this process's sockets transfer. A full link slows down
+// all connections and makes healthy endpoints look faulty while the processor is idle. No other measurement within the
+// process shows it.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +11,14 @@
 
 class link_meter {
 public:
-    // What the link carries in each direction; 0 where it is not told, and it never counts as full then.
+    // Sets the link's capacity in each direction; 0 if it is unknown, in which case the link never counts as used.
     void set_megabits_per_second(double rate);
 
-    void note_received(std::size_t bytes) { m_received += bytes; }
-    void note_sent(std::size_t bytes) { m_sent += bytes; }
+    void record_received(std::size_t bytes) { m_received += bytes; }
+    void record_sent(std::size_t bytes) { m_sent += bytes; }
 
-    // The part of the link that was in use since the last call, in the fuller direction, from 0 to 1.
-    [[nodiscard]] double take_part(std::int64_t now_ns);
+    // Returns the fraction of the capacity that was used since the last call in the busier direction, from 0 to 1.
+    [[nodiscard]] double take_fraction(std::int64_t now_ns);
 
 private:
     double m_bytes_per_ns { 0 };
--- a/libraries/relay/peer_mesh.cpp
+++ b/libraries/relay/peer_mesh.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Links to and from other routers.
+// Implements the outgoing and incoming connections of a router.
 #include "libraries/relay/peer_mesh.h"
 
 #include <algorithm>
@@ -8,10 +8,11 @@
 
 namespace {
 
-constexpr milliseconds connect_limit { 700 };
-// A peer that has so much unread gets no more until it has read: what it misses is out of date by then.
-constexpr std::size_t most_unread = 256U << 10U;
-constexpr std::size_t most_links = 1024;
+constexpr milliseconds connect_timeout { 700 };
+// A peer with more unwritten bytes than this gets no further messages until it has read. The skipped messages would be
+// out of date by then.
+constexpr std::size_t max_unwritten_bytes = 256U << 10U;
+constexpr std::size_t max_incoming_links = 1024;
 
 } // namespace
 
@@ -26,24 +27,27 @@
     }
 
     [[nodiscard]] bool open() { return m_socket.connect(m_address); }
-    [[nodiscard]] bool is_up() const { return m_is_up; }
-    [[nodiscard]] bool is_late(instant now) const { return !m_is_up && now - m_started_at > connect_limit; }
+    [[nodiscard]] bool is_connected() const { return m_is_connected; }
+    [[nodiscard]] bool has_timed_out(instant now) const
+    {
+        return !m_is_connected && now - m_started_at > connect_timeout;
+    }
 
-    void tell(std::string const& frame, traffic_kind kind)
+    void send(std::string const& frame, traffic_kind kind)
     {
-        if (!m_is_up || m_socket.unwritten_size() > most_unread)
+        if (!m_is_connected || m_socket.unwritten_size() > max_unwritten_bytes)
             return;
         m_mesh.m_traffic.sent_of(kind).add(frame.size());
         m_socket.queue(frame);
         if (!m_socket.flush())
-            lose();
+            disconnect();
     }
 
-    void lose()
+    void disconnect()
     {
         m_socket.close();
-        m_mesh.m_directory.note_lost(m_address, m_mesh.m_loop.now(), m_mesh.m_draw);
-        // The link may be on the stack: it goes at the end of the round.
+        m_mesh.m_directory.record_disconnected(m_address, m_mesh.m_loop.now(), m_mesh.m_draw);
+        // The link may be on the call stack, so it is destroyed at the end of the round.
         m_mesh.m_loop.at_end_of_round([&mesh = m_mesh, address = m_address, self = this] {
             auto const found = mesh.m_outgoing.find(address);
             if (found != mesh.m_outgoing.end() && found->second.get() == self)
@@ -54,26 +58,26 @@
 private:
     void on_ready(readiness ready) override
     {
-        if (!m_is_up) {
-            if (!m_socket.has_connected())
-                return lose();
-            m_is_up = true;
-            m_mesh.m_directory.note_connected(m_address);
-            m_mesh.m_new.push_back(m_address);
+        if (!m_is_connected) {
+            if (!m_socket.finish_connect())
+                return disconnect();
+            m_is_connected = true;
+            m_mesh.m_directory.record_connected(m_address);
+            m_mesh.m_newly_connected.push_back(m_address);
             return;
         }
         if (ready.is_writable && !m_socket.flush())
-            return lose();
-        // Nothing is ever said in this direction: what is readable is the end.
+            return disconnect();
+        // The other router never sends on this connection, so a readable socket means that it was closed.
         if ((ready.is_readable || ready.is_closed) && m_socket.read().end != read_end::drained)
-            lose();
+            disconnect();
     }
 
     peer_mesh& m_mesh;
     std::string m_address;
     socket m_socket;
     instant m_started_at;
-    bool m_is_up { false };
+    bool m_is_connected { false };
 };
 
 class peer_mesh::incoming_link final : public io_handler {
@@ -92,14 +96,14 @@
     {
         auto const [bytes, end] = m_socket.read();
         if (end != read_end::drained)
-            return lose();
-        m_in += bytes;
+            return disconnect();
+        m_input += bytes;
         std::size_t used = 0;
-        auto rest = std::string_view(m_in);
+        auto rest = std::string_view(m_input);
         for (auto size = peering::frame_size(rest); size && rest.size() >= *size; size = peering::frame_size(rest)) {
-            // What a router of another version says may not be known here; the next message may be.
+            // A router of another version may send some messages that this one cannot decode; they are skipped.
             if (auto message
-                = peering::decode_body(rest.substr(peering::frame_head_size, *size - peering::frame_head_size))) {
+                = peering::decode_body(rest.substr(peering::frame_header_size, *size - peering::frame_header_size))) {
                 m_mesh.m_traffic.received_of(kind_of(*message)).add(*size);
                 m_mesh.m_on_message(std::move(*message));
             } else {
@@ -108,14 +112,14 @@
             used += *size;
             rest.remove_prefix(*size);
         }
-        m_in.erase(0, used);
-        if (m_in.empty())
-            release(m_in);
-        if (m_in.size() > peering::most_frame_size)
-            lose();
+        m_input.erase(0, used);
+        if (m_input.empty())
+            clear_buffer(m_input);
+        if (m_input.size() > peering::max_frame_size)
+            disconnect();
     }
 
-    void lose()
+    void disconnect()
     {
         m_socket.close();
         m_mesh.m_loop.at_end_of_round([&mesh = m_mesh, number = m_number] { mesh.m_incoming.erase(number); });
@@ -124,7 +128,7 @@
     peer_mesh& m_mesh;
     std::uint64_t m_number;
     socket m_socket;
-    std::string m_in;
+    std::string m_input;
 };
 
 peer_mesh::peer_mesh(event_loop& loop, peering::peer_directory directory, message_function on_message)
@@ -140,7 +144,7 @@
 result<void> peer_mesh::open()
 {
     TRY_VOID(m_listener.open(own_address()));
-    // Port 0 lets the system choose; the others are told the real one.
+    // With port 0 the system chooses the port, which other routers need to know.
     if (own_address().ends_with(":0"))
         m_directory.set_own_address(
             own_address().substr(0, own_address().size() - 1) + std::to_string(m_listener.port()));
@@ -150,10 +154,10 @@
 void peer_mesh::accept(int descriptor)
 {
     auto const number = ++m_last_number;
-    auto const made = std::make_shared<incoming_link>(*this, number);
-    made->open(descriptor);
-    if (m_incoming.size() < most_links)
-        m_incoming.emplace(number, made);
+    auto const link = std::make_shared<incoming_link>(*this, number);
+    link->open(descriptor);
+    if (m_incoming.size() < max_incoming_links)
+        m_incoming.emplace(number, link);
 }
 
 void peer_mesh::tick(std::uint64_t draw)
@@ -161,56 +165,57 @@
     m_draw = draw;
     auto const now = m_loop.now();
     for (auto const& [address, link] : m_outgoing) {
-        if (link->is_late(now))
-            link->lose();
+        if (link->has_timed_out(now))
+            link->disconnect();
     }
-    for (auto const& address : m_directory.take_needless(now))
+    for (auto const& address : m_directory.take_unneeded(now))
         m_outgoing.erase(address);
     for (auto const& address : m_directory.take_due(now)) {
-        auto const made = std::make_shared<outgoing_link>(*this, address);
-        m_outgoing.insert_or_assign(address, made);
-        if (!made->open())
-            made->lose();
+        auto const link = std::make_shared<outgoing_link>(*this, address);
+        m_outgoing.insert_or_assign(address, link);
+        if (!link->open())
+            link->disconnect();
     }
 }
 
-void peer_mesh::tell_routers(std::string const& frame, traffic_kind kind)
+void peer_mesh::send_to_routers(std::string const& frame, traffic_kind kind)
 {
     for (auto const& [address, link] : m_outgoing) {
-        if (m_directory.is_told_singly(address))
-            link->tell(frame, kind);
+        if (m_directory.receives_own_reports(address))
+            link->send(frame, kind);
     }
 }
 
-void peer_mesh::tell_domains(std::string const& frame)
+void peer_mesh::send_to_domains(std::string const& frame)
 {
     for (auto const& [address, link] : m_outgoing) {
-        if (!m_directory.is_told_singly(address))
-            link->tell(frame, traffic_kind::domain_sums);
+        if (!m_directory.receives_own_reports(address))
+            link->send(frame, traffic_kind::domain_sums);
     }
 }
 
-bool peer_mesh::is_linked_to_domains() const
+bool peer_mesh::is_connected_to_domains() const
 {
-    return std::ranges::any_of(m_outgoing,
-        [this](auto const& entry) { return entry.second->is_up() && !m_directory.is_told_singly(entry.first); });
+    return std::ranges::any_of(m_outgoing, [this](auto const& entry) {
+        return entry.second->is_connected() && !m_directory.receives_own_reports(entry.first);
+    });
 }
 
-std::vector<std::string> peer_mesh::linked_routers() const
+std::vector<std::string> peer_mesh::connected_routers() const
 {
-    std::vector<std::string> linked;
+    std::vector<std::string> addresses;
     for (auto const& [address, link] : m_outgoing) {
-        if (link->is_up() && m_directory.is_told_singly(address))
-            linked.push_back(address);
+        if (link->is_connected() && m_directory.receives_own_reports(address))
+            addresses.push_back(address);
     }
-    std::ranges::sort(linked);
-    return linked;
+    std::ranges::sort(addresses);
+    return addresses;
 }
 
-void peer_mesh::tell(std::string const& address, std::string const& frame, traffic_kind kind)
+void peer_mesh::send_to(std::string const& address, std::string const& frame, traffic_kind kind)
 {
     if (auto const found = m_outgoing.find(address); found != m_outgoing.end())
-        found->second->tell(frame, kind);
+        found->second->send(frame, kind);
 }
 
 } // namespace shedhill::relay
--- a/libraries/relay/peer_mesh.h
+++ b/libraries/relay/peer_mesh.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Connections between routers. Each router speaks over the connections that it opened and listens on those that others
-// opened to it, so that two routers have two, and neither has to be told apart from the other.
+// Connections between routers. Each router sends on the connections that it opened and receives on those that others
+// opened to it. Two routers thus have two connections, and neither has to find out which of them to use.
 #pragma once
 
 #include "libraries/peering/peer_directory.h"
@@ -25,29 +25,31 @@
     peer_mesh(peer_mesh const&) = delete;
     peer_mesh& operator=(peer_mesh const&) = delete;
 
+    // Listens at the directory's own address. If its port is 0, the address gets the port that the system assigned.
     result<void> open();
+    // Opens and closes connections as the directory demands; `draw` is a random number for the back-off.
     void tick(std::uint64_t draw);
 
-    // To the routers that are connected and are told what each does by itself, or to those of other failure domains,
-    // which are told sums; those that do not read fast enough are left out.
-    void tell_routers(std::string const& frame, traffic_kind kind);
-    void tell_domains(std::string const& frame);
-    [[nodiscard]] bool is_linked_to_domains() const;
-    // Those that are connected and told what each does by itself, in the order of their addresses.
-    [[nodiscard]] std::vector<std::string> linked_routers() const;
-    void tell(std::string const& address, std::string const& frame, traffic_kind kind);
-    // Routers that were connected since the last call: they may know nothing yet.
-    [[nodiscard]] std::vector<std::string> take_new() { return std::exchange(m_new, {}); }
+    // Send a frame to all connected routers that receive this router's own reports, or to those of other failure
+    // domains, which receive domain sums. Routers that do not read fast enough are skipped.
+    void send_to_routers(std::string const& frame, traffic_kind kind);
+    void send_to_domains(std::string const& frame);
+    [[nodiscard]] bool is_connected_to_domains() const;
+    // Returns the connected routers that receive this router's own reports, sorted by address.
+    [[nodiscard]] std::vector<std::string> connected_routers() const;
+    void send_to(std::string const& address, std::string const& frame, traffic_kind kind);
+    // Returns the routers to which a connection was established since the last call. They may have no state yet.
+    [[nodiscard]] std::vector<std::string> take_newly_connected() { return std::exchange(m_newly_connected, {}); }
 
     [[nodiscard]] peer_traffic const& traffic() const { return m_traffic; }
-    // Messages that could not be read since the last call.
+    // Returns the number of received messages since the last call that could not be decoded.
     [[nodiscard]] std::uint64_t take_skipped() { return std::exchange(m_skipped, 0); }
 
     [[nodiscard]] peering::peer_directory& directory() { return m_directory; }
     [[nodiscard]] std::string const& own_address() const { return m_directory.self().address; }
     [[nodiscard]] std::uint16_t port() const { return m_listener.port(); }
-    // Routers that are connected or being connected to.
-    [[nodiscard]] std::size_t listeners() const { return m_outgoing.size(); }
+    // Returns the number of outgoing connections, including those still being established.
+    [[nodiscard]] std::size_t link_count() const { return m_outgoing.size(); }
 
 private:
     class outgoing_link;
@@ -63,7 +65,7 @@
     std::uint64_t m_draw { 0 };
     std::uint64_t m_skipped { 0 };
     peer_traffic m_traffic;
-    std::vector<std::string> m_new;
+    std::vector<std::string> m_newly_connected;
     std::unordered_map<std::string, std::shared_ptr<outgoing_link>> m_outgoing;
     std::unordered_map<std::uint64_t, std::shared_ptr<incoming_link>> m_incoming;
 };
--- a/libraries/relay/peer_traffic.cpp
+++ b/libraries/relay/peer_traffic.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The kind of a message.
+// Classifies messages by kind.
 #include "libraries/relay/peer_traffic.h"
 
 namespace shedhill::relay {
@@ -11,7 +11,7 @@
         return traffic_kind::documents;
     if (state->report.subject == dispatch::report_subject::router)
         return traffic_kind::own_state;
-    return state->is_passed_on ? traffic_kind::passed_on : traffic_kind::domain_sums;
+    return state->is_forwarded ? traffic_kind::passed_on : traffic_kind::domain_sums;
 }
 
 } // namespace shedhill::relay
--- a/libraries/relay/peer_traffic.h
+++ b/libraries/relay/peer_traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What routers tell each other, counted by kind and way: by that an operator sees which part of it grows with the
-// fleet.
+// Counts the messages between routers by kind and direction, which shows operators the kind whose traffic grows with
+// the fleet.
 #pragma once
 
 #include "libraries/peering/peer_message.h"
@@ -12,13 +12,13 @@
 namespace shedhill::relay {
 
 enum class traffic_kind {
-    // What a router does by itself, to its neighbours; to all others where the fleet is small.
+    // A router's own state, sent to its domain peers, or to all other routers in a full mesh.
     own_state,
-    // Sums of a failure domain, to other failure domains.
+    // Sums of a failure domain, sent to other failure domains.
     domain_sums,
-    // Sums of other failure domains, to the neighbours.
+    // Sums of other failure domains, forwarded to the domain peers.
     passed_on,
-    // Documents of the store, and what asks for them or for links.
+    // Documents of the store, and requests for documents or links.
     documents,
     count,
 };
@@ -53,7 +53,7 @@
     }
 };
 
-// Since the start of the process, by traffic_kind.
+// The counts since the start of the process, indexed by traffic_kind.
 struct peer_traffic {
     static constexpr std::size_t kinds = static_cast<std::size_t>(traffic_kind::count);
 
--- a/libraries/relay/protocol.h
+++ b/libraries/relay/protocol.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a binding gives the relay: the names and formats in which callers and endpoints speak. It decides nothing.
+// What a binding provides to the relay: the names and formats of the protocol that callers and endpoints use. A binding
+// makes no decisions.
 #pragma once
 
 #include "libraries/dispatch/events.h"
@@ -11,24 +12,26 @@
 
 namespace shedhill::relay {
 
-// What an endpoint's head says of the call.
+// How the head of an endpoint's answer relates to the call.
 enum class answer_kind {
-    // The endpoint's own answer, good or bad: it is passed on as it is.
+    // The endpoint's own answer, a success or a failure, which is forwarded unchanged.
     answer,
+    // The endpoint did not execute the request.
     not_run,
+    // Another endpoint than the intended one answered.
     wrong_endpoint,
-    // It belongs to another call.
+    // The answer belongs to another call.
     other_call,
-    // A success without the endpoint's mark: not its answer.
+    // The answer lacks the endpoint's marks and is not accepted as its answer.
     invalid,
 };
 
-// What an attempt adds to the caller's request.
+// Fields that an attempt adds to the caller's request.
 struct attempt_fields {
     endpoint_name endpoint;
     team_name team;
     milliseconds time_left { 0 };
-    // Where a broken stream is to be taken up; empty otherwise.
+    // The id of the event after which a broken stream is resumed; empty if nothing is resumed.
     std::string_view resume_after;
     std::size_t body_size { 0 };
 };
@@ -44,7 +47,7 @@
 concept caller_protocol = requires(std::string& out, caller_request const& request, answer_head const& head,
     attempt_fields const& attempt, refusal_fields const& refusal, dispatch::request_arrived& arrived)
 {
-    // Fills in what a decision needs; false if a field of the request is bad.
+    // Extracts from the request what the dispatcher needs; false if a field is invalid.
     {
         Binding::read_request(request, arrived)
         } -> std::same_as<bool>;
@@ -54,7 +57,7 @@
     {
         Binding::kind_of(head, request)
         } -> std::same_as<answer_kind>;
-    // What the endpoint tells of itself beside its answer.
+    // Returns what the answer's headers report about the endpoint itself.
     {
         Binding::notice_of(head)
         } -> std::same_as<dispatch::endpoint_notice>;
--- a/libraries/relay/request_content.cpp
+++ b/libraries/relay/request_content.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Each part is hashed with the hash of those before it as the seed, so that no two divisions of the same bytes agree.
+// Hashes each part with the hash of the previous parts as its seed, so that different divisions of the same bytes have
+// different hashes.
 #include "libraries/relay/request_content.h"
 
 #include "base/hash.h"
--- a/libraries/relay/request_content.h
+++ b/libraries/relay/request_content.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a request asks for, by which it is known when it is sent again under another id.
+// Hashes what a request asks for, which identifies the request when it is sent again under another id.
 #pragma once
 
 #include "base/identifiers.h"
@@ -7,7 +7,7 @@
 
 namespace shedhill::relay {
 
-// Of method, host, target and body. Headers are left out: ids and deadlines differ from try to try.
+// Hashes method, host, target and body. The other headers are omitted, since ids and deadlines differ between attempts.
 [[nodiscard]] content_hash content_of(caller_request const& request);
 
 } // namespace shedhill::relay
--- a/libraries/relay/slow_readers.cpp
+++ b/libraries/relay/slow_readers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The largest first.
+// Disconnects the callers with the most unread bytes first.
 #include "libraries/relay/slow_readers.h"
 
 #include <algorithm>
@@ -9,22 +9,23 @@
 
 namespace {
 
-// A stream of a thousand events; less than that waits for anybody on a slow line.
-constexpr std::size_t little_unread = 65536;
+// The least number of unread bytes, about a stream of a thousand events, for which a caller is disconnected. Fewer wait
+// for any caller on a slow connection.
+constexpr std::size_t min_unread_bytes = 65536;
 
 } // namespace
 
-std::vector<std::uint64_t> readers_to_end(std::vector<waiting_reader> readers, std::size_t held, std::size_t limit)
+std::vector<std::uint64_t> readers_to_disconnect(std::vector<slow_reader> readers, std::size_t held, std::size_t limit)
 {
-    std::ranges::sort(readers, std::greater(), &waiting_reader::unread);
-    std::vector<std::uint64_t> ended;
+    std::ranges::sort(readers, std::greater(), &slow_reader::unread_bytes);
+    std::vector<std::uint64_t> callers;
     for (auto const& reader : readers) {
-        if (held <= limit || reader.unread < little_unread)
+        if (held <= limit || reader.unread_bytes < min_unread_bytes)
             break;
-        held -= std::min(held, reader.unread);
-        ended.push_back(reader.caller);
+        held -= std::min(held, reader.unread_bytes);
+        callers.push_back(reader.caller);
     }
-    return ended;
+    return callers;
 }
 
 } // namespace shedhill::relay
--- a/libraries/relay/slow_readers.h
+++ b/libraries/relay/slow_readers.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Which callers' answers are broken off when too much is held for callers that read slowly.
+// Selects the callers that are disconnected when too many bytes are buffered for callers that read slowly.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,15 @@
 
 namespace shedhill::relay {
 
-struct waiting_reader {
-    // Of the caller's connection.
+struct slow_reader {
+    // The number of the caller's connection.
     std::uint64_t caller { 0 };
-    // Bytes of answers that wait for it to read.
-    std::size_t unread { 0 };
+    // Bytes of answers that wait for the caller to read them.
+    std::size_t unread_bytes { 0 };
 };
 
-// Those with the most unread bytes, until no more than the limit is held. Nobody with little unread is among them: they
-// are not what fills the memory, and where requests fill it new ones are refused.
-std::vector<std::uint64_t> readers_to_end(std::vector<waiting_reader> readers, std::size_t held, std::size_t limit);
+// Returns the callers with the most unread bytes whose removal brings the held bytes down to the limit. Callers with
+// few unread bytes are never among them: they do not fill the memory, and if requests fill it, new ones are refused.
+std::vector<std::uint64_t> readers_to_disconnect(std::vector<slow_reader> readers, std::size_t held, std::size_t limit);
 
 } // namespace shedhill::relay
--- a/libraries/relay/socket.cpp
+++ b/libraries/relay/socket.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Sockets by the system's calls.
+// Implements sockets with POSIX system calls.
 #include "libraries/relay/socket.h"
 
 #include <algorithm>
@@ -17,27 +17,27 @@
 
 namespace {
 
-// Bytes that the peer has not acknowledged for so long mean that it is gone.
+// The connection is broken if the peer does not acknowledge sent bytes within this time.
 constexpr unsigned unacknowledged_limit_ms = 1200;
 constexpr int accept_backlog = 512;
-// What was written is dropped from the front of the buffer once it is so large.
-constexpr std::size_t compacted_size = 65536;
+// Written bytes are removed from the front of the buffer once there are more than this.
+constexpr std::size_t compaction_threshold = 65536;
 
 std::optional<sockaddr_in> to_system_address(std::string const& address)
 {
     auto const colon = address.rfind(':');
     if (colon == std::string::npos)
         return std::nullopt;
-    sockaddr_in made {};
-    made.sin_family = AF_INET;
+    sockaddr_in system_address {};
+    system_address.sin_family = AF_INET;
     std::uint16_t port = 0;
     auto const* const last = address.data() + address.size();
     if (std::from_chars(address.data() + colon + 1, last, port).ptr != last)
         return std::nullopt;
-    made.sin_port = htons(port);
-    if (inet_pton(AF_INET, address.substr(0, colon).c_str(), &made.sin_addr) != 1)
+    system_address.sin_port = htons(port);
+    if (inet_pton(AF_INET, address.substr(0, colon).c_str(), &system_address.sin_addr) != 1)
         return std::nullopt;
-    return made;
+    return system_address;
 }
 
 template <typename Value>
@@ -54,7 +54,7 @@
 
 sockaddr* as_generic(sockaddr_in& address)
 {
-    return reinterpret_cast<sockaddr*>(&address); // NOLINT: the system's own idiom
+    return reinterpret_cast<sockaddr*>(&address); // NOLINT: the POSIX socket interface requires this cast
 }
 
 } // namespace
@@ -88,7 +88,7 @@
     m_watch = m_loop.watch(descriptor, m_handler, m_interest);
 }
 
-bool socket::has_connected()
+bool socket::finish_connect()
 {
     int failure = 0;
     socklen_t size = sizeof(failure);
@@ -105,7 +105,7 @@
 {
     auto& buffer = m_loop.read_buffer();
     auto const count = ::recv(m_descriptor, buffer.data(), buffer.size(), 0);
-    m_loop.link().note_received(static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
+    m_loop.link().record_received(static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
     if (count > 0)
         return { std::string_view(buffer.data(), static_cast<std::size_t>(count)), read_end::drained };
     if (count == 0)
@@ -124,7 +124,7 @@
                 return false;
             m_is_blocked = true;
             update_interest();
-            if (m_written > compacted_size) {
+            if (m_written > compaction_threshold) {
                 m_out.erase(0, m_written);
                 m_written = 0;
             }
@@ -132,9 +132,9 @@
             return true;
         }
         m_written += static_cast<std::size_t>(count);
-        m_loop.link().note_sent(static_cast<std::size_t>(count));
+        m_loop.link().record_sent(static_cast<std::size_t>(count));
     }
-    release(m_out);
+    clear_buffer(m_out);
     m_written = 0;
     if (m_held.size() != 0)
         m_held.set(0);
@@ -162,14 +162,14 @@
     if (wanted == m_interest)
         return;
     m_interest = wanted;
-    m_loop.change(m_watch, m_descriptor, wanted);
+    m_loop.change_interest(m_watch, m_descriptor, wanted);
 }
 
 void socket::close()
 {
     if (!is_open())
         return;
-    m_loop.forget(m_watch, m_descriptor);
+    m_loop.unwatch(m_watch, m_descriptor);
     ::close(m_descriptor);
     m_descriptor = -1;
     m_held.set(0);
@@ -187,7 +187,7 @@
 {
     auto target = to_system_address(address);
     if (!target)
-        return fail("listen", address, "is not an IP number and a port");
+        return fail("listen", address, "is not an IPv4 address and a port");
     m_descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (m_descriptor < 0)
         return fail("listen", address, std::strerror(errno));
@@ -217,15 +217,15 @@
 {
     if (m_descriptor < 0)
         return;
-    m_loop.forget(m_watch, m_descriptor);
+    m_loop.unwatch(m_watch, m_descriptor);
     ::close(m_descriptor);
     m_descriptor = -1;
 }
 
 void listener_socket::on_ready(readiness)
 {
-    constexpr int most_at_once = 16;
-    for (int accepted = 0; accepted < most_at_once; ++accepted) {
+    constexpr int max_accepts_per_event = 16;
+    for (int accepted = 0; accepted < max_accepts_per_event; ++accepted) {
         auto const descriptor = accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor < 0)
             return;
--- a/libraries/relay/socket.h
+++ b/libraries/relay/socket.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A TCP socket that never blocks, watched by the loop, with what waits to be written.
+// A non-blocking TCP socket that the event loop watches, with a buffer of the bytes to write.
 #pragma once
 
 #include "libraries/relay/event_loop.h"
@@ -10,9 +10,9 @@
 namespace shedhill::relay {
 
 enum class read_end {
-    // Everything there was has been read.
+    // All bytes that had arrived were read.
     drained,
-    // The peer has closed its end in good order.
+    // The peer has closed its end in an orderly way.
     closed,
     // The connection is broken.
     failed,
@@ -23,15 +23,15 @@
     read_end end { read_end::drained };
 };
 
-// A connection that rests keeps no more room than this: hundreds of callers, endpoints and routers stay connected, and
-// one large message on each would stay in memory for as long as they do.
-constexpr std::size_t kept_capacity = 4096;
+// The largest capacity of an empty buffer. Hundreds of callers, endpoints and routers stay connected, and the memory of
+// one large message on each connection would otherwise stay allocated as long as the connection.
+constexpr std::size_t max_idle_capacity = 4096;
 
-// Empties the buffer.
-inline void release(std::string& buffer)
+// Empties the buffer and frees its memory if it exceeds max_idle_capacity.
+inline void clear_buffer(std::string& buffer)
 {
     buffer.clear();
-    if (buffer.capacity() > kept_capacity)
+    if (buffer.capacity() > max_idle_capacity)
         buffer.shrink_to_fit();
 }
 
@@ -47,12 +47,14 @@
     socket(socket const&) = delete;
     socket& operator=(socket const&) = delete;
 
-    // Starts to connect; the handler is told that it is writable once that is over.
+    // Starts to connect; the handler is called with a writable socket once the attempt has ended. Returns false if the
+    // attempt could not be started.
     [[nodiscard]] bool connect(std::string const& address);
+    // Takes ownership of a connected descriptor.
     void adopt(int descriptor);
-    // Whether a connection that was started has come up. Call it when the socket is first writable.
-    [[nodiscard]] bool has_connected();
-    // The last connection did not come up because nothing listens at the address.
+    // Completes connect() when the socket is first writable. Returns whether the connection was established.
+    [[nodiscard]] bool finish_connect();
+    // Returns whether the last attempt to connect was refused, because nothing listens at the address.
     [[nodiscard]] bool was_refused() const { return m_was_refused; }
 
     // Reads once into the loop's buffer; the bytes are valid until the next read of any socket.
@@ -62,13 +64,14 @@
     std::string& out() { return m_out; }
     [[nodiscard]] bool has_unwritten() const { return m_written < m_out.size(); }
     [[nodiscard]] std::size_t unwritten_size() const { return m_out.size() - m_written; }
-    // Writes what it can; false if the connection is broken.
+    // Writes as many bytes as the system accepts; returns false if the connection is broken.
     bool flush();
 
     void set_reading(bool is_reading);
     [[nodiscard]] bool is_open() const { return m_descriptor >= 0; }
-    // Closes in good order, or with a reset, which the peer cannot take for the end of an answer.
+    // Closes in an orderly way.
     void close();
+    // Closes with a reset, which the peer cannot mistake for the end of an answer.
     void reset();
 
 private:
@@ -84,9 +87,9 @@
     bool m_was_refused { false };
     bool m_is_blocked { false };
     std::string m_out;
-    // Invariant: at most m_out.size().
+    // How many bytes of m_out were written. Invariant: at most m_out.size().
     std::size_t m_written { 0 };
-    // What the peer had not read when the socket was last flushed.
+    // The unwritten bytes when the socket was last flushed.
     held_bytes m_held;
 };
 
--- a/libraries/relay/status_server.cpp
+++ b/libraries/relay/status_server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One short answer for each request.
+// Answers each request with a short text.
 #include "libraries/relay/status_server.h"
 
 namespace shedhill::relay {
@@ -7,10 +7,10 @@
 void status_server::accept(int descriptor)
 {
     auto const number = ++m_last_number;
-    auto const made
+    auto const connection
         = std::make_shared<caller_connection>(m_loop, number, static_cast<caller_listener&>(*this), read_limits {});
-    m_connections.emplace(number, made);
-    made->open(descriptor);
+    m_connections.emplace(number, connection);
+    connection->open(descriptor);
 }
 
 void status_server::on_request(caller_connection& connection, caller_request request)
@@ -24,16 +24,17 @@
     answer(connection, { status, "bad request\n" });
 }
 
-void status_server::answer(caller_connection& connection, status_answer const& given)
+void status_server::answer(caller_connection& connection, status_answer const& response)
 {
     auto& out = connection.out();
-    append_status_line(out, given.status, to_view(http::obsolete_reason(static_cast<http::status>(given.status))));
+    append_status_line(
+        out, response.status, to_view(http::obsolete_reason(static_cast<http::status>(response.status))));
     append_field(out, "Content-Type", "text/plain");
-    append_field(out, "Content-Length", std::to_string(given.body.size()));
+    append_field(out, "Content-Length", std::to_string(response.body.size()));
     if (connection.closes_after_answer())
         append_field(out, "Connection", "close");
     out += "\r\n";
-    out += given.body;
+    out += response.body;
     connection.finish_answer();
 }
 
--- a/libraries/relay/status_server.h
+++ b/libraries/relay/status_server.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Answers short questions about this process: readiness and counters.
+// An HTTP server for the status of this process: readiness and metrics.
 #pragma once
 
 #include "libraries/relay/caller_connection.h"
@@ -32,8 +32,8 @@
     void accept(int descriptor);
     void on_request(caller_connection& connection, caller_request request) override;
     void on_bad_request(caller_connection& connection, unsigned status) override;
-    void on_caller_gone(caller_connection& connection) override { m_connections.erase(connection.number()); }
-    static void answer(caller_connection& connection, status_answer const& given);
+    void on_caller_disconnected(caller_connection& connection) override { m_connections.erase(connection.number()); }
+    static void answer(caller_connection& connection, status_answer const& response);
 
     event_loop& m_loop;
     answer_function m_answer;
--- a/libraries/relay/stop_sequence.cpp
+++ b/libraries/relay/stop_sequence.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Steps by time.
+// Decides the steps of a planned stop by the elapsed time.
 #include "libraries/relay/stop_sequence.h"
 
 namespace shedhill::relay {
 
 namespace {
 
-// Kept back of the time to stop, so that the end comes from the process and not from outside.
+// The process ends this long before the end of its stop time, so that it exits by itself rather than being killed.
 constexpr milliseconds stop_margin { 700 };
 
 } // namespace
@@ -21,16 +21,16 @@
 {
     if (!has_begun())
         return stop_step::wait;
-    auto const since = now - m_begun_at;
-    if (since >= stop_time - stop_margin)
+    auto const elapsed = now - m_begun_at;
+    if (elapsed >= stop_time - stop_margin)
         return stop_step::end_process;
-    if (since < balancer_notice)
+    if (elapsed < balancer_detection_time)
         return stop_step::wait;
     if (!m_is_closing) {
         m_is_closing = true;
         return stop_step::close_callers;
     }
-    return open.requests > 0 || open.has_half_an_exchange ? stop_step::wait : stop_step::end_process;
+    return open.requests > 0 || open.has_partial_exchange ? stop_step::wait : stop_step::end_process;
 }
 
 } // namespace shedhill::relay
--- a/libraries/relay/stop_sequence.h
+++ b/libraries/relay/stop_sequence.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The steps of a planned stop, by time: the balancer notices, callers who rest are let go, and the process ends when
-// nothing is in flight or its time is up. Decides only; the router carries the steps out.
+// The timed steps of a planned stop: wait until the load balancer has noticed, release idle callers, and end the
+// process when no work is in progress or the time is up. The sequence only decides; the router carries the steps out.
 #pragma once
 
 #include "base/units.h"
@@ -9,31 +9,31 @@
 
 namespace shedhill::relay {
 
-// What is still open at a router that stops.
+// The work that is still open at a stopping router.
 struct open_work {
-    // Requests that are being served.
+    // The number of requests that are being served.
     std::size_t requests { 0 };
-    // A caller has sent a part of a request, or has not taken all of an answer yet.
-    bool has_half_an_exchange { false };
+    // Whether a caller has sent a part of a request, or has not received all of an answer yet.
+    bool has_partial_exchange { false };
 };
 
 enum class stop_step {
-    // Go on with what is open.
+    // Continue with the open work.
     wait,
-    // Callers who rest are let go, and what still comes is refused: the balancer sends nothing new any more.
+    // Release idle callers and refuse new requests: the load balancer sends no new callers any more.
     close_callers,
     end_process,
 };
 
 class stop_sequence {
 public:
-    // Asks for the stop; from then on it must end within the time. A second call changes nothing.
+    // Starts the sequence at `now`, from which the stop time counts. A second call changes nothing.
     void begin(instant now);
     [[nodiscard]] bool has_begun() const { return m_begun_at != instant {}; }
-    // Callers have been let go: new requests are refused.
+    // Returns whether callers were released, so that new requests are refused.
     [[nodiscard]] bool is_closing() const { return m_is_closing; }
 
-    // What to do now. `close_callers` is told once.
+    // Returns the step to carry out now; `close_callers` is returned once.
     stop_step advance(open_work const& open, milliseconds stop_time, instant now);
 
 private:
@@ -41,7 +41,8 @@
     bool m_is_closing { false };
 };
 
-// The balancer asks each second and leaves a router out after two bad answers.
-constexpr milliseconds balancer_notice { 2700 };
+// The time until the load balancer no longer uses a router that is not ready: it checks every second and removes a
+// router after two failed checks.
+constexpr milliseconds balancer_detection_time { 2700 };
 
 } // namespace shedhill::relay
--- a/libraries/relay/store_session.cpp
+++ b/libraries/relay/store_session.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Whole calls.
+// Implements calls whose answers are collected whole.
 #include "libraries/relay/store_session.h"
 
 namespace shedhill::relay {
 
-void whole_call::start(std::string call, milliseconds limit)
+void buffered_call::start(std::string call, milliseconds limit)
 {
     m_is_calling = true;
     m_status = 0;
     m_body.clear();
-    m_ends_at = m_loop.now() + limit;
-    if (!m_connection || !m_connection->is_idle() || m_loop.now() >= m_connection->kept_until()) {
+    m_deadline = m_loop.now() + limit;
+    if (!m_connection || !m_connection->is_idle() || m_loop.now() >= m_connection->reusable_until()) {
         if (m_connection)
             m_connection->abandon();
         m_connection = std::make_shared<call_connection>(m_loop);
@@ -18,13 +18,13 @@
     m_connection->start(m_address, std::move(call), *this);
 }
 
-void whole_call::check_time(instant now)
+void buffered_call::check_timeouts(instant now)
 {
-    if (m_is_calling && now >= m_ends_at)
-        give_up();
+    if (m_is_calling && now >= m_deadline)
+        cancel();
 }
 
-void whole_call::give_up()
+void buffered_call::cancel()
 {
     m_connection->abandon();
     m_connection.reset();
@@ -32,13 +32,13 @@
     m_done(0, {});
 }
 
-head_choice whole_call::on_head(answer_head const& head)
+head_decision buffered_call::on_head(answer_head const& head)
 {
     m_status = head.result_int();
-    return head_choice::take;
+    return head_decision::accept;
 }
 
-void whole_call::on_call_end(call_end end)
+void buffered_call::on_call_end(call_end end)
 {
     m_is_calling = false;
     auto const body = std::exchange(m_body, {});
--- a/libraries/relay/store_session.h
+++ b/libraries/relay/store_session.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Carries out what store_followers decides: for each table one call to the store at a time, with a limit of its own.
+// Carries out the calls that store_followers decides on: for each table one call to the store at a time, each with its
+// own timeout.
 #pragma once
 
 #include "libraries/dispatch/store/store_followers.h"
@@ -11,34 +12,34 @@
 
 namespace shedhill::relay {
 
-// One call whose answer is wanted whole.
-class whole_call final : call_listener {
+// Sends calls one at a time and collects the whole answer of each.
+class buffered_call final : call_listener {
 public:
-    // Status and body, or status 0 where no whole answer came.
+    // Receives the status and body of the answer, or status 0 if no complete answer arrived.
     using done_function = std::function<void(unsigned status, std::string const& body)>;
 
-    whole_call(event_loop& loop, std::string address, done_function done)
+    buffered_call(event_loop& loop, std::string address, done_function done)
         : m_loop(loop)
         , m_address(std::move(address))
         , m_done(std::move(done))
     {
     }
-    ~whole_call() override
+    ~buffered_call() override
     {
         if (m_connection)
             m_connection->abandon();
     }
-    whole_call(whole_call const&) = delete;
-    whole_call& operator=(whole_call const&) = delete;
+    buffered_call(buffered_call const&) = delete;
+    buffered_call& operator=(buffered_call const&) = delete;
 
     void start(std::string call, milliseconds limit);
-    void check_time(instant now);
-    // Ends the call that is under way without an answer.
-    void give_up();
+    void check_timeouts(instant now);
+    // Ends the call in progress and reports that it got no answer.
+    void cancel();
     [[nodiscard]] bool is_calling() const { return m_is_calling; }
 
 private:
-    head_choice on_head(answer_head const& head) override;
+    head_decision on_head(answer_head const& head) override;
     void on_data(std::string_view data) override { m_body += data; }
     void on_call_end(call_end end) override;
 
@@ -47,34 +48,34 @@
     done_function m_done;
     std::shared_ptr<call_connection> m_connection;
     bool m_is_calling { false };
-    instant m_ends_at {};
+    instant m_deadline {};
     unsigned m_status { 0 };
     std::string m_body;
 };
 
-// Carries the calls for one table out.
+// Reads and watches one table of the store.
 template <table_protocol Binding>
 class table_session {
 public:
     using changed_function = std::function<void()>;
 
-    table_session(event_loop& loop, std::string store, table_name table, dispatch::store_followers& followers,
+    table_session(event_loop& loop, std::string store, table_name table, dispatch::store_followers& watchers,
         changed_function on_changed)
         : m_loop(loop)
         , m_store(std::move(store))
         , m_table(table)
-        , m_followers(followers)
+        , m_followers(watchers)
         , m_on_changed(std::move(on_changed))
-        , m_call(loop, m_store, [this](unsigned status, std::string const& body) { take_answer(status, body); })
+        , m_call(loop, m_store, [this](unsigned status, std::string const& body) { handle_answer(status, body); })
     {
     }
 
     void tick(instant now, std::uint64_t draw)
     {
         m_draw = draw;
-        m_call.check_time(now);
+        m_call.check_timeouts(now);
         if (m_call.is_calling() && m_followers.is_to_give_up(m_table, now))
-            m_call.give_up();
+            m_call.cancel();
         if (m_call.is_calling())
             return;
         auto const next = m_followers.take_next(m_table, now);
@@ -83,36 +84,36 @@
         auto const& asks = next->asks;
         bool const is_read = asks.kind == dispatch::table_follower::call_kind::read;
         m_call.start(is_read ? Binding::read_call(m_store, m_table, asks.after_key)
-                             : Binding::follow_call(m_store, m_table, asks.since, asks.wait),
+                             : Binding::watch_call(m_store, m_table, asks.since, asks.wait),
             next->limit);
     }
 
-    [[nodiscard]] dispatch::table_follower& follower() { return m_followers.of(m_table); }
+    [[nodiscard]] dispatch::table_follower& watcher() { return m_followers.of(m_table); }
 
 private:
-    void take_answer(unsigned status, std::string const& body)
+    void handle_answer(unsigned status, std::string const& body)
     {
-        using follower = dispatch::table_follower;
+        using watcher = dispatch::table_follower;
         auto const verdict = status == 0 ? store_verdict::failed : Binding::verdict_of(status);
         if (verdict == store_verdict::done) {
             if (auto page = Binding::parse_page(body))
-                return take_page(std::move(*page));
+                return apply_page(std::move(*page));
         }
-        auto what = status == 0 ? follower::failure::no_answer : follower::failure::refused;
+        auto what = status == 0 ? watcher::failure::no_answer : watcher::failure::refused;
         if (verdict == store_verdict::history_gone)
-            what = follower::failure::history_gone;
+            what = watcher::failure::history_gone;
         m_followers.take_failure(m_table, what, m_loop.now(), m_draw);
     }
 
-    void take_page(table_page page)
+    void apply_page(table_page page)
     {
-        using follower = dispatch::table_follower;
-        std::vector<follower::changed_row> rows;
+        using watcher = dispatch::table_follower;
+        std::vector<watcher::changed_row> rows;
         rows.reserve(page.rows.size());
         for (auto& row : page.rows)
             rows.push_back({ std::move(row.key), std::move(row.value), row.version, row.is_gone });
         if (m_followers.take_page(m_table, rows, page.version, page.has_more, m_loop.now())
-            == follower::page_outcome::changed)
+            == watcher::page_outcome::changed)
             m_on_changed();
     }
 
@@ -121,7 +122,7 @@
     table_name m_table;
     dispatch::store_followers& m_followers;
     changed_function m_on_changed;
-    whole_call m_call;
+    buffered_call m_call;
     std::uint64_t m_draw { 0 };
 };
 
--- a/libraries/relay/table_access.h
+++ b/libraries/relay/table_access.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What a binding gives for the tables of the store: how calls are written and answers are read.
+// What a binding provides for the tables of the store: functions that write calls and parse answers.
 #pragma once
 
 #include "base/error.h"
@@ -26,18 +26,18 @@
 
 struct table_page {
     std::vector<table_row> rows;
-    // The newest version of the store, up to which the rows are complete.
+    // The newest version of the store that the rows include.
     std::uint64_t version { 0 };
     bool has_more { false };
 };
 
 enum class store_verdict {
     done,
-    // The history that was asked for is gone: read anew.
+    // The store no longer has the requested history: the table has to be read again.
     history_gone,
-    // A condition did not hold.
+    // The condition of a write did not hold.
     condition_failed,
-    // Nothing was done; or it is not known whether anything was.
+    // The call was not executed, or its outcome is unknown.
     failed,
 };
 
@@ -45,12 +45,12 @@
 concept table_protocol = requires(std::string const& text, std::string_view body, table_name table,
     std::uint64_t version, milliseconds wait, unsigned status)
 {
-    // Whole HTTP calls to the store.
+    // Return complete HTTP calls to the store.
     {
         Binding::read_call(text, table, text)
         } -> std::same_as<std::string>;
     {
-        Binding::follow_call(text, table, version, wait)
+        Binding::watch_call(text, table, version, wait)
         } -> std::same_as<std::string>;
     {
         Binding::put_call(text, table, text, text)
@@ -64,7 +64,7 @@
     {
         Binding::parse_page(body)
         } -> std::same_as<result<table_page>>;
-    // The declared configuration from the rows of its table.
+    // Parse the rows of the configuration and endpoint tables.
     {
         Binding::configuration_key()
         } -> std::same_as<std::string_view>;
--- a/services/shedhilld/caller_table.cpp
+++ b/services/shedhilld/caller_table.cpp
@@ -28,7 +28,7 @@
     std::vector<std::shared_ptr<relay::caller_connection>> idle;
     for (auto const& [number, caller] : m_callers) {
         auto const idle_time = now - caller->last_activity();
-        auto const limit = caller->has_begun_request() ? limits.header_time : limits.idle_time;
+        auto const limit = caller->has_partial_request() ? limits.header_time : limits.idle_time;
         if (!caller->is_answering() && idle_time > limit)
             idle.push_back(caller);
     }
@@ -41,28 +41,28 @@
     auto const callers = m_callers;
     for (auto const& [number, caller] : callers) {
         // An answer of this round is not written yet, so the connection closes only once it is.
-        if (!caller->has_begun_request())
-            caller->let_go();
+        if (!caller->has_partial_request())
+            caller->close_after_flush();
     }
 }
 
 bool caller_table::has_unfinished_exchange() const
 {
     return std::ranges::any_of(m_callers,
-        [](auto const& entry) { return entry.second->has_begun_request() || entry.second->has_unwritten(); });
+        [](auto const& entry) { return entry.second->has_partial_request() || entry.second->has_unwritten(); });
 }
 
 std::vector<caller_table::disconnected_reader> caller_table::disconnect_slow_readers()
 {
     auto const& held = m_loop.held();
-    std::vector<relay::waiting_reader> readers;
+    std::vector<relay::slow_reader> readers;
     for (auto const& [number, caller] : m_callers)
         readers.push_back({ number, caller->unwritten_size() });
     std::vector<disconnected_reader> ended;
-    for (auto const number : relay::readers_to_end(std::move(readers), held.held(), held.limit())) {
+    for (auto const number : relay::readers_to_disconnect(std::move(readers), held.held(), held.limit())) {
         auto const caller = m_callers.at(number);
         ended.push_back({ caller->unwritten_size() });
-        caller->drop();
+        caller->abort_connection();
     }
     return ended;
 }
--- a/services/shedhilld/endpoint_connections.cpp
+++ b/services/shedhilld/endpoint_connections.cpp
@@ -18,7 +18,7 @@
     while (found != m_idle.end() && !found->second.empty()) {
         auto& idle = found->second;
         auto const& last = idle.back();
-        bool const is_usable = last->is_idle() && now < last->kept_until();
+        bool const is_usable = last->is_idle() && now < last->reusable_until();
         if (is_usable && choice == dispatch::connection_choice::fresh && now - last->idle_since() > max_fresh_idle_time)
             break;
         auto connection = std::move(idle.back());
@@ -39,7 +39,7 @@
 {
     for (auto entry = m_idle.begin(); entry != m_idle.end();) {
         std::erase_if(entry->second, [now](auto const& connection) {
-            bool const is_old = !connection->is_idle() || now >= connection->kept_until();
+            bool const is_old = !connection->is_idle() || now >= connection->reusable_until();
             if (is_old)
                 connection->abandon();
             return is_old;
--- a/services/shedhilld/fleet_reports.h
+++ b/services/shedhilld/fleet_reports.h
@@ -6,8 +6,8 @@
 #pragma once
 
 #include "libraries/dispatch/dispatch_reducer.h"
-#include "libraries/peering/domain_tellers.h"
-#include "libraries/peering/member_turns.h"
+#include "libraries/peering/domain_delegates.h"
+#include "libraries/peering/peer_rotation.h"
 #include "libraries/relay/deployment.h"
 #include "libraries/relay/peer_mesh.h"
 
@@ -22,7 +22,7 @@
 // Requires of the owner of the reports that it provides what they are made from and handles what other routers send.
 template <typename Owner>
 concept reports_owner = requires(Owner& owner, peering::state_message& state, peering::document_message& document,
-    peering::document_wanted const& request, dispatch::event_body event, std::string const& name, instant now)
+    peering::document_request const& request, dispatch::event_body event, std::string const& name, instant now)
 {
     {
         owner.reducer()
@@ -55,8 +55,8 @@
         , m_settings(settings)
         , m_owner(owner)
         , m_peers(loop,
-              peering::peer_directory(
-                  { settings.peer_address, settings.domain, processor_weight(settings) }, settings.most_in_full_mesh),
+              peering::peer_directory({ settings.peer_address, settings.domain, processor_weight(settings) },
+                  settings.max_full_mesh_routers),
               [this](peering::peer_message message) { on_message(std::move(message)); })
     {
         static_assert(reports_owner<Owner>);
@@ -74,7 +74,7 @@
         m_peers.tick(draw);
         for (auto skipped = m_peers.take_skipped(); skipped > 0; --skipped)
             m_owner.count("shedhill_skipped_peer_messages_total");
-        auto const new_peers = m_peers.take_new();
+        auto const new_peers = m_peers.take_newly_connected();
         // After a new link, this router asks at once to be connected to in return.
         if (!new_peers.empty())
             m_links_requested_at = {};
@@ -83,7 +83,7 @@
             m_links_requested_at = now;
             request_links();
         }
-        m_is_domain_delegate = m_peers.is_linked_to_domains();
+        m_is_domain_delegate = m_peers.is_connected_to_domains();
         if (m_is_domain_delegate)
             send_domain_report(new_peers, now);
         return true;
@@ -91,7 +91,7 @@
 
     void send(std::string const& address, std::string const& frame)
     {
-        m_peers.tell(address, frame, relay::traffic_kind::documents);
+        m_peers.send_to(address, frame, relay::traffic_kind::documents);
     }
 
     [[nodiscard]] peering::peer_directory& directory() { return m_peers.directory(); }
@@ -125,7 +125,7 @@
     static std::uint32_t processor_weight(relay::deployment_settings const& settings)
     {
         constexpr double thousandths = 1000;
-        return static_cast<std::uint32_t>(std::clamp(settings.processor_share, 0.0, thousandths) * thousandths);
+        return static_cast<std::uint32_t>(std::clamp(settings.cpu_cores, 0.0, thousandths) * thousandths);
     }
 
     [[nodiscard]] peering::state_message make_state_message(dispatch::peer_reported report, instant now)
@@ -141,15 +141,15 @@
 
     [[nodiscard]] bool has_new_peer(std::vector<std::string> const& new_peers, bool gets_own_reports)
     {
-        return std::ranges::any_of(
-            new_peers, [&](auto const& address) { return directory().is_told_singly(address) == gets_own_reports; });
+        return std::ranges::any_of(new_peers,
+            [&](auto const& address) { return directory().receives_own_reports(address) == gets_own_reports; });
     }
 
     void request_links()
     {
-        auto const frame = peering::encode_frame(peering::link_wanted { self().address });
-        for (auto const& address : directory().wanted_links())
-            m_peers.tell(address, frame, relay::traffic_kind::documents);
+        auto const frame = peering::encode_frame(peering::link_request { self().address });
+        for (auto const& address : directory().wanted_reverse_links())
+            m_peers.send_to(address, frame, relay::traffic_kind::documents);
     }
 
     // Sends this router's own report. Most reports hold only what changed. A full report follows once in a while, and
@@ -160,12 +160,12 @@
         bool const is_full = is_new || now - m_full_report_at >= full_report_interval;
         auto report = m_owner.reducer().take_own_report(
             is_full ? dispatch::report_scope::whole : dispatch::report_scope::changes, now);
-        if (m_peers.listeners() == 0)
+        if (m_peers.link_count() == 0)
             return;
         auto state = make_state_message(std::move(report), now);
         if (is_full)
             m_full_report_at = now;
-        m_peers.tell_routers(peering::encode_frame(state), relay::traffic_kind::own_state);
+        m_peers.send_to_routers(peering::encode_frame(state), relay::traffic_kind::own_state);
         state.report.scope = dispatch::report_scope::changes;
         state.report.loads.clear();
         state.report.parts.clear();
@@ -179,12 +179,12 @@
     // and rarely changes. Sent to all of them at once, it would be most of the traffic between routers.
     void send_members(peering::state_message const& state, instant now)
     {
-        auto const due = m_peer_rotation.take_due(m_peers.linked_routers(), now);
+        auto const due = m_peer_rotation.take_due(m_peers.connected_routers(), now);
         if (due.empty())
             return;
         auto const frame = peering::encode_frame(state);
         for (auto const& address : due)
-            m_peers.tell(address, frame, relay::traffic_kind::own_state);
+            m_peers.send_to(address, frame, relay::traffic_kind::own_state);
     }
 
     // Sends a router that has just connected the list of routers, the recently placed parts of prompts, and the crash
@@ -197,8 +197,8 @@
         state.report.crashes = m_owner.reducer().crash_records(now);
         auto const frame = peering::encode_frame(std::move(state));
         for (auto const& address : new_peers) {
-            if (directory().is_told_singly(address))
-                m_peers.tell(address, frame, relay::traffic_kind::own_state);
+            if (directory().receives_own_reports(address))
+                m_peers.send_to(address, frame, relay::traffic_kind::own_state);
         }
     }
 
@@ -216,7 +216,7 @@
             state.members = directory().members();
             state.report.crashes = m_owner.reducer().crash_records(now);
         }
-        m_peers.tell_domains(peering::encode_frame(state));
+        m_peers.send_to_domains(peering::encode_frame(state));
     }
 
     void on_message(peering::peer_message message)
@@ -228,11 +228,11 @@
     {
         auto const now = m_loop.now();
         for (auto const& member : state.members)
-            directory().add_told(member, now);
-        if (state.is_passed_on)
-            directory().add_told(state.sender(), now);
+            directory().add_reported(member, now);
+        if (state.is_forwarded)
+            directory().add_reported(state.sender(), now);
         else
-            directory().note_heard(state.sender(),
+            directory().record_direct_report(state.sender(),
                 state.report.routers_aside > 0 && state.report.subject == dispatch::report_subject::router, now);
         m_owner.apply_document_versions(state, now);
         if (state.report.subject == dispatch::report_subject::domain && !accepts_sums(state, now))
@@ -247,32 +247,35 @@
         auto const& domain = state.report.domain;
         if (domain == m_settings.domain)
             return false;
-        if (!state.is_passed_on)
-            directory().note_domain_heard(domain, now);
+        if (!state.is_forwarded)
+            directory().record_domain_sums(domain, now);
         if (!m_delegates.accepts(domain, state.report.peer, state.number, now))
             return false;
-        if (std::exchange(state.is_passed_on, true))
+        if (std::exchange(state.is_forwarded, true))
             return true;
         state.documents.clear();
         state.members.clear();
-        m_peers.tell_routers(peering::encode_frame(state), relay::traffic_kind::passed_on);
+        m_peers.send_to_routers(peering::encode_frame(state), relay::traffic_kind::passed_on);
         return true;
     }
 
-    void handle_message(peering::link_wanted const& request) { directory().note_wanted(request.address, m_loop.now()); }
+    void handle_message(peering::link_request const& request)
+    {
+        directory().record_link_request(request.address, m_loop.now());
+    }
     void handle_message(peering::document_message& document) { m_owner.handle(document); }
-    void handle_message(peering::document_wanted const& request) { m_owner.handle(request); }
+    void handle_message(peering::document_request const& request) { m_owner.handle(request); }
 
     relay::event_loop& m_loop;
     relay::deployment_settings const& m_settings;
     Owner& m_owner;
     relay::peer_mesh m_peers;
-    peering::domain_tellers m_delegates;
+    peering::domain_delegates m_delegates;
     std::uint64_t m_last_message_number { 0 };
     bool m_is_domain_delegate { false };
     instant m_reported_at {};
     instant m_full_report_at {};
-    peering::member_turns m_peer_rotation;
+    peering::peer_rotation m_peer_rotation;
     instant m_full_domain_report_at {};
     instant m_links_requested_at {};
 };
--- a/services/shedhilld/fleet_view.h
+++ b/services/shedhilld/fleet_view.h
@@ -8,7 +8,7 @@
 #include "libraries/dispatch/log_fields.h"
 #include "libraries/dispatch/store/endpoint_roster.h"
 #include "libraries/dispatch/store/store_outage_watch.h"
-#include "libraries/peering/follow_duty.h"
+#include "libraries/peering/watch_assignment.h"
 #include "libraries/relay/deployment.h"
 #include "libraries/relay/store_session.h"
 #include "services/shedhilld/endpoint_rows.h"
@@ -115,7 +115,7 @@
     [[nodiscard]] milliseconds configuration_age()
     {
         return m_loop.now()
-            - std::max(m_configuration.follower().confirmed_at(),
+            - std::max(m_configuration.watcher().confirmed_at(),
                 m_published_documents.confirmed_at(document_kind::configuration));
     }
     // Returns the same for the list of endpoints.
@@ -123,7 +123,7 @@
     {
         return m_loop.now()
             - std::max(
-                m_endpoints.follower().confirmed_at(), m_published_documents.confirmed_at(document_kind::endpoints));
+                m_endpoints.watcher().confirmed_at(), m_published_documents.confirmed_at(document_kind::endpoints));
     }
 
     [[nodiscard]] relay::peer_traffic const& traffic() const { return m_reports.traffic(); }
@@ -150,10 +150,10 @@
         std::optional<milliseconds> returned_ago;
         if (returned_at != instant {})
             returned_ago = now - returned_at;
-        return { { document_kind::configuration, m_configuration.follower().changed_version(),
-                     now - m_configuration.follower().confirmed_at() },
-            { document_kind::endpoints, m_endpoints.follower().changed_version(),
-                now - m_endpoints.follower().confirmed_at(), returned_ago } };
+        return { { document_kind::configuration, m_configuration.watcher().changed_version(),
+                     now - m_configuration.watcher().confirmed_at() },
+            { document_kind::endpoints, m_endpoints.watcher().changed_version(),
+                now - m_endpoints.watcher().confirmed_at(), returned_ago } };
     }
 
     void apply_document_versions(peering::state_message const& state, instant now)
@@ -168,7 +168,7 @@
         }
     }
 
-    void handle(peering::document_wanted const& request)
+    void handle(peering::document_request const& request)
     {
         if (own_version(request.kind) > request.version)
             m_reports.send(request.address, m_published_documents.frame_for(request, watcher_of(request.kind)));
@@ -211,7 +211,7 @@
     [[nodiscard]] dispatch::follow_terms own_watch_terms(bool is_watcher, instant now) const
     {
         return dispatch::make_follow_terms({ m_settings.leaving_bound, is_watcher, m_watch_assignment.is_shared(now),
-            m_watch_assignment.is_among_the_first(now) });
+            m_watch_assignment.is_outage_prober(now) });
     }
 
     // Returns the greatest age that a watcher's last confirmation of the endpoint list has while the store answers in
@@ -227,7 +227,7 @@
         if (m_started_at == instant {})
             m_started_at = now;
         bool const is_watcher = now - m_started_at >= watch_start_delay
-            && m_watch_assignment.is_own(max_confirmation_age(now) + report_delay, now);
+            && m_watch_assignment.is_assigned(max_confirmation_age(now) + report_delay, now);
         if (std::exchange(m_is_watching_store, is_watcher) != is_watcher)
             m_host.log_state(
                 "store_following_changed", dispatch::log_fields().add("follows", is_watcher ? 1 : 0).take());
@@ -274,7 +274,7 @@
     void apply_configuration_rows(document_source const& source)
     {
         dispatch::domains_evacuated evacuated;
-        for (auto const& [key, row] : m_configuration.follower().rows()) {
+        for (auto const& [key, row] : m_configuration.watcher().rows()) {
             if (key == TableBinding::configuration_key())
                 apply_configuration(row, source);
             else if (auto domain = TableBinding::evacuated_domain(key))
@@ -298,13 +298,13 @@
 
     [[nodiscard]] dispatch::store_contact endpoint_list_contact(instant now)
     {
-        auto const& watcher = m_endpoints.follower();
+        auto const& watcher = m_endpoints.watcher();
         return m_outages.contact({ watcher.confirmed_at(), watcher.returned_at(), m_is_watching_store }, now);
     }
 
     void apply_endpoint_rows()
     {
-        auto table_rows = m_endpoint_rows.read(m_endpoints.follower().rows());
+        auto table_rows = m_endpoint_rows.read(m_endpoints.watcher().rows());
         log_refused_rows(m_endpoint_rows.take_refused());
         auto const now = m_loop.now();
         auto const kept_before = m_roster.kept_count();
@@ -354,13 +354,13 @@
             = state.report.subject == dispatch::report_subject::router && state.report.domain == m_settings.domain;
         if (!is_domain_peer)
             return;
-        m_watch_assignment.note_heard(state.report.peer, confirmed_at, now);
+        m_watch_assignment.record_report(state.report.peer, confirmed_at, now);
         m_domain_confirmed_at = std::max(m_domain_confirmed_at, confirmed_at);
     }
 
     [[nodiscard]] dispatch::table_follower& watcher_of(document_kind kind)
     {
-        return kind == document_kind::configuration ? m_configuration.follower() : m_endpoints.follower();
+        return kind == document_kind::configuration ? m_configuration.watcher() : m_endpoints.watcher();
     }
 
     [[nodiscard]] std::uint64_t own_version(document_kind kind) { return watcher_of(kind).changed_version(); }
@@ -383,7 +383,7 @@
         if (reported.kind == document_kind::configuration)
             return m_published_documents.time_behind(reported.kind, own_version(reported.kind), now)
                 < missed_configuration_delay;
-        auto const confirmed_at = std::max(m_endpoints.follower().confirmed_at(), m_domain_confirmed_at);
+        auto const confirmed_at = std::max(m_endpoints.watcher().confirmed_at(), m_domain_confirmed_at);
         return now - confirmed_at < max_confirmation_age(now) + list_staleness_margin;
     }
 
@@ -398,7 +398,7 @@
         if (!m_published_documents.try_request(reported.kind, state.report.peer, now - reported.age, now))
             return;
         m_reports.send(state.address,
-            peering::encode_frame(peering::document_wanted {
+            peering::encode_frame(peering::document_request {
                 reported.kind, own, m_reports.self().address, watcher_of(reported.kind).told_since() }));
     }
 
@@ -406,7 +406,7 @@
     relay::deployment_settings const& m_settings;
     Host& m_host;
     fleet_reports<fleet_view> m_reports;
-    peering::follow_duty m_watch_assignment;
+    peering::watch_assignment m_watch_assignment;
     dispatch::store_followers m_watchers;
     relay::table_session<TableBinding> m_configuration;
     relay::table_session<TableBinding> m_endpoints;
--- a/services/shedhilld/platform_main.cpp
+++ b/services/shedhilld/platform_main.cpp
@@ -53,7 +53,7 @@
         std::cerr << settings.error().to_string() << '\n';
         return 2;
     }
-    settings->most_in_full_mesh = options.most_in_full_mesh;
+    settings->max_full_mesh_routers = options.max_full_mesh_routers;
     set_metrics_port(*settings, options.metrics_port);
     if (options.is_check_only) {
         std::cout << "settings are valid\n";
--- a/services/shedhilld/platform_main.h
+++ b/services/shedhilld/platform_main.h
@@ -15,7 +15,7 @@
     std::string settings_file;
     dispatch::dispatch_policy policy;
     // Up to this number of routers each router connects to all others.
-    std::size_t most_in_full_mesh { 0 };
+    std::size_t max_full_mesh_routers { 0 };
     // The port on the VM's address at which metrics are served; 0 for the first port that the platform reserves for
     // routers.
     std::uint16_t metrics_port { 0 };
--- a/services/shedhilld/platform_router.h
+++ b/services/shedhilld/platform_router.h
@@ -170,7 +170,7 @@
         if (m_stop.is_closing())
             return refuse_unparsed(connection, request, dispatch::refusal_reason::stopping, stopping_retry_delay);
         // The request is neither run nor buffered: what is already buffered is served first.
-        if (m_loop.held().is_over())
+        if (m_loop.held().is_over_limit())
             return refuse_unparsed(connection, request, dispatch::refusal_reason::memory_full, dispatch::least_return);
         dispatch::request_arrived arrived;
         arrived.request = request_number(++m_last_request);
@@ -209,7 +209,7 @@
         connection.finish_answer();
     }
 
-    void on_caller_gone(relay::caller_connection& connection) override
+    void on_caller_disconnected(relay::caller_connection& connection) override
     {
         auto const number = connection.number();
         if (auto const request = m_exchanges.remove_caller(number))
@@ -238,7 +238,7 @@
 
     [[nodiscard]] bool suspects_requests() const override { return m_reducer.suspects_requests(); }
 
-    void on_exchange_over(request_number request) override { m_exchanges.mark_finished(request); }
+    void on_exchange_finished(request_number request) override { m_exchanges.mark_finished(request); }
 
     void process_events()
     {
@@ -283,13 +283,13 @@
     void carry_out(dispatch::pass_answer const& withheld_answer)
     {
         if (auto* const open_exchange = m_exchanges.find(withheld_answer.request))
-            open_exchange->pass_kept_answer();
+            open_exchange->forward_withheld_answer();
     }
 
     void carry_out(dispatch::break_answer const& broken_answer)
     {
         if (auto* const open_exchange = m_exchanges.find(broken_answer.request))
-            open_exchange->break_off();
+            open_exchange->abort_answer();
     }
 
     void carry_out(dispatch::set_ready const& readiness)
@@ -316,12 +316,12 @@
     [[nodiscard]] bool sends_callers_away() const
     {
         return m_sends_callers_away_since != instant {}
-        && m_loop.now() - m_sends_callers_away_since >= relay::balancer_notice;
+        && m_loop.now() - m_sends_callers_away_since >= relay::balancer_detection_time;
     }
 
     // Returns the number of callers above which a caller is disconnected after its answer. The other descriptors are
     // for the connections of requests that are being served.
-    [[nodiscard]] std::size_t max_persistent_callers() const { return m_settings.descriptors / 4; }
+    [[nodiscard]] std::size_t max_persistent_callers() const { return m_settings.file_descriptor_limit / 4; }
 
     void tick(instant now, milliseconds lag, signal_flags& signals)
     {
@@ -331,7 +331,7 @@
             signals.reload = 0;
             reload();
         }
-        reduce(dispatch::tick { lag, m_loop.take_busy_part(), m_loop.take_link_part() });
+        reduce(dispatch::tick { lag, m_loop.take_busy_fraction(), m_loop.take_link_fraction() });
         m_log.flush();
         process_events();
         auto const draw = m_random();
@@ -349,11 +349,11 @@
 
     void check_timeouts(instant now)
     {
-        m_exchanges.for_each([now](exchange& open_exchange) { open_exchange.check_time(now, connect_timeout); });
-        m_probes.check_time(now);
+        m_exchanges.for_each([now](exchange& open_exchange) { open_exchange.check_timeouts(now, connect_timeout); });
+        m_probes.check_timeouts(now);
         process_events();
         m_connections.close_expired(now);
-        if (m_loop.held().is_over())
+        if (m_loop.held().is_over_limit())
             disconnect_slow_readers();
         if (now - m_idle_callers_checked_at >= idle_caller_check_interval) {
             m_idle_callers_checked_at = now;
--- a/services/shedhilld/published_documents.h
+++ b/services/shedhilld/published_documents.h
@@ -36,7 +36,7 @@
 
     // Returns the encoded frame with what the requesting router needs of the table.
     [[nodiscard]] std::string const& frame_for(
-        peering::document_wanted const& request, dispatch::table_follower const& table);
+        peering::document_request const& request, dispatch::table_follower const& table);
 
 private:
     struct document_state {
--- a/services/shedhilld/routers_table.h
+++ b/services/shedhilld/routers_table.h
@@ -42,14 +42,14 @@
     void tick(instant now, std::uint64_t draw)
     {
         m_rows.tick(now, draw);
-        m_writer.check_time(now);
+        m_writer.check_timeouts(now);
     }
 
     // Writes or removes a row if one is due, with one call at a time. Only a router that watches the table removes
     // rows, because the others do not see whether a row was removed already.
     void maintain_rows(bool is_watching_store, instant now)
     {
-        if (m_writer.is_calling() || now < m_next_write_at || !m_rows.follower().has_rows())
+        if (m_writer.is_calling() || now < m_next_write_at || !m_rows.watcher().has_rows())
             return;
         if (is_own_row_missing())
             write_own_row(now);
@@ -74,13 +74,13 @@
     void apply_rows()
     {
         std::map<std::string, peering::fleet_member> members;
-        for (auto const& [key, row] : m_rows.follower().rows()) {
+        for (auto const& [key, row] : m_rows.watcher().rows()) {
             auto parsed = peering::parse_router_row(row.value);
             members.emplace(key, std::move(parsed.member));
             if (key == m_settings.vm.value() && !std::exchange(m_has_read_own_row, true) && !parsed.quarantined.empty())
                 m_on_quarantined(std::move(parsed.quarantined));
         }
-        m_directory.take_table(members);
+        m_directory.apply_table(members);
     }
 
     [[nodiscard]] bool is_own_row_missing()
@@ -91,9 +91,9 @@
             return true;
         // Rows that were read before the last write do not show it. A router that does not watch the table would
         // otherwise write its row again and again.
-        if (m_rows.follower().confirmed_at() <= m_written_at)
+        if (m_rows.watcher().confirmed_at() <= m_written_at)
             return false;
-        auto const& rows = m_rows.follower().rows();
+        auto const& rows = m_rows.watcher().rows();
         auto const own = rows.find(m_settings.vm.value());
         return own == rows.end() || own->second.value != own_row_text();
     }
@@ -115,8 +115,8 @@
 
     void remove_stale_row(instant now)
     {
-        auto const& rows = m_rows.follower().rows();
-        for (auto const& stale : m_directory.rows_of_the_dead(now)) {
+        auto const& rows = m_rows.watcher().rows();
+        for (auto const& stale : m_directory.stale_rows(now)) {
             auto const row = rows.find(stale);
             if (row == rows.end())
                 continue;
@@ -145,7 +145,7 @@
     failed_function m_on_failed;
     quarantined_function m_on_quarantined;
     relay::table_session<TableBinding> m_rows;
-    relay::whole_call m_writer;
+    relay::buffered_call m_writer;
     bool m_is_leaving { false };
     bool m_has_read_own_row { false };
     std::vector<dispatch::crash_record> m_quarantined;
--- a/tests/peering/peer_directory_test.cpp
+++ b/tests/peering/peer_directory_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Who connects to whom in a large fleet, and what happens when the one who tells for a failure domain is gone.
+// Tests which routers connect to each other in a large fleet, and how a lost delegate or remote peer is replaced.
 #include "libraries/peering/peer_directory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,16 +11,16 @@
 
 class peer_directory_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_directory_test);
-    CPPUNIT_TEST(a_member_survives_its_text);
+    CPPUNIT_TEST(a_member_round_trips_through_its_text);
     CPPUNIT_TEST(a_small_fleet_connects_all_to_all);
     CPPUNIT_TEST(a_large_fleet_connects_within_failure_domains);
-    CPPUNIT_TEST(one_router_of_a_failure_domain_connects_to_the_others);
-    CPPUNIT_TEST(who_is_asked_to_connects_back);
-    CPPUNIT_TEST(two_routers_that_need_not_hear_each_other_part);
-    CPPUNIT_TEST(another_router_tells_when_the_teller_is_gone);
-    CPPUNIT_TEST(a_router_with_too_much_to_do_does_not_tell);
-    CPPUNIT_TEST(a_contact_that_is_silent_is_replaced);
-    CPPUNIT_TEST(rows_of_another_failure_domain_are_left_to_its_routers);
+    CPPUNIT_TEST(only_the_delegate_connects_to_other_failure_domains);
+    CPPUNIT_TEST(a_router_connects_back_on_request);
+    CPPUNIT_TEST(unneeded_connections_to_seeds_are_closed);
+    CPPUNIT_TEST(another_router_replaces_a_lost_delegate);
+    CPPUNIT_TEST(an_overloaded_router_is_not_the_delegate);
+    CPPUNIT_TEST(a_silent_remote_peer_is_replaced);
+    CPPUNIT_TEST(stale_rows_of_other_failure_domains_are_not_removed);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int domains = 3;
@@ -30,7 +30,7 @@
 
     static fleet_member member(int domain, int router)
     {
-        // The first ones of each failure domain may use more of a core.
+        // The first two routers of each failure domain have a higher processor quota.
         auto const weight = static_cast<std::uint32_t>(router < 2 ? 500 - router : 90);
         return { "10." + std::to_string(domain) + ".0." + std::to_string(router) + ":1",
             failure_domain("d" + std::to_string(domain)), weight };
@@ -49,35 +49,36 @@
     static peer_directory make_directory(int domain, int router)
     {
         peer_directory directory(member(domain, router));
-        directory.take_table(table());
+        directory.apply_table(table());
         return directory;
     }
 
-    static void hear_neighbours(peer_directory& directory, int domain, instant now, std::set<int> const& silent = {})
+    static void receive_domain_reports(
+        peer_directory& directory, int domain, instant now, std::set<int> const& silent = {})
     {
         for (int router = 0; router < routers_each; ++router) {
             if (!silent.contains(router))
-                directory.note_heard(member(domain, router), false, now);
+                directory.record_direct_report(member(domain, router), false, now);
         }
     }
 
-    // Those that it connects to at this time, of other failure domains than its own.
+    // Connects to all routers that are due and returns those of other failure domains.
     static std::vector<std::string> connect(peer_directory& directory, int domain, instant now)
     {
         std::vector<std::string> foreign;
         for (auto const& address : directory.take_due(now)) {
-            directory.note_connected(address);
+            directory.record_connected(address);
             if (!address.starts_with("10." + std::to_string(domain)))
                 foreign.push_back(address);
         }
         return foreign;
     }
 
-    void a_member_survives_its_text()
+    void a_member_round_trips_through_its_text()
     {
-        fleet_member const known { "10.0.0.1:7", failure_domain("north hall"), 90 };
-        CPPUNIT_ASSERT(parse_member(to_text(known)) == known);
-        // As an earlier version writes it, and as nobody should.
+        fleet_member const original { "10.0.0.1:7", failure_domain("north hall"), 90 };
+        CPPUNIT_ASSERT(parse_member(to_text(original)) == original);
+        // The form of earlier versions, and an invalid one.
         CPPUNIT_ASSERT(parse_member("10.0.0.1:7") == (fleet_member { "10.0.0.1:7", {}, 0 }));
         CPPUNIT_ASSERT(parse_member("10.0.0.1:7 many") == (fleet_member { "10.0.0.1:7", {}, 0 }));
         CPPUNIT_ASSERT(parse_member("") == fleet_member {});
@@ -91,7 +92,7 @@
             for (int router = 0; router < 4; ++router)
                 rows[member(domain, router).address] = member(domain, router);
         }
-        directory.take_table(rows);
+        directory.apply_table(rows);
         CPPUNIT_ASSERT(directory.is_full_mesh());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 11 }, directory.take_due(at(1000)).size());
     }
@@ -100,109 +101,111 @@
     {
         auto directory = make_directory(0, 5);
         CPPUNIT_ASSERT_EQUAL(std::size_t { routers_each - 1 }, directory.take_due(at(1000)).size());
-        hear_neighbours(directory, 0, at(3000));
+        receive_domain_reports(directory, 0, at(3000));
         CPPUNIT_ASSERT(directory.take_due(at(3000)).empty());
-        CPPUNIT_ASSERT(directory.is_told_singly(member(0, 1).address));
-        CPPUNIT_ASSERT(!directory.is_told_singly(member(1, 1).address));
+        CPPUNIT_ASSERT(directory.receives_own_reports(member(0, 1).address));
+        CPPUNIT_ASSERT(!directory.receives_own_reports(member(1, 1).address));
     }
 
-    void one_router_of_a_failure_domain_connects_to_the_others()
+    void only_the_delegate_connects_to_other_failure_domains()
     {
-        std::size_t tellers = 0;
+        std::size_t delegates = 0;
         for (int router = 0; router < routers_each; ++router) {
             auto directory = make_directory(1, router);
             (void)connect(directory, 1, at(1000));
-            hear_neighbours(directory, 1, at(2000));
+            receive_domain_reports(directory, 1, at(2000));
             auto const foreign = connect(directory, 1, at(2000));
             if (foreign.empty())
                 continue;
-            ++tellers;
-            // The router with the most to spend, to those with the most to spend.
+            ++delegates;
+            // The router of the highest weight connects to the routers of the highest weight.
             CPPUNIT_ASSERT_EQUAL(0, router);
             CPPUNIT_ASSERT(foreign == (std::vector { member(0, 0).address, member(2, 0).address }));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, tellers);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, delegates);
     }
 
-    void who_is_asked_to_connects_back()
+    void a_router_connects_back_on_request()
     {
         auto directory = make_directory(0, 5);
         (void)connect(directory, 0, at(1000));
-        hear_neighbours(directory, 0, at(2000));
-        directory.note_heard(member(2, 0), false, at(2000));
-        directory.note_wanted(member(2, 0).address, at(2000));
+        receive_domain_reports(directory, 0, at(2000));
+        directory.record_direct_report(member(2, 0), false, at(2000));
+        directory.record_link_request(member(2, 0).address, at(2000));
         CPPUNIT_ASSERT(connect(directory, 0, at(2000)) == std::vector { member(2, 0).address });
-        hear_neighbours(directory, 0, at(4900));
-        CPPUNIT_ASSERT(directory.take_needless(at(4900)).empty());
-        hear_neighbours(directory, 0, at(5100));
-        CPPUNIT_ASSERT(directory.take_needless(at(5100)) == std::vector { member(2, 0).address });
+        receive_domain_reports(directory, 0, at(4900));
+        CPPUNIT_ASSERT(directory.take_unneeded(at(4900)).empty());
+        receive_domain_reports(directory, 0, at(5100));
+        CPPUNIT_ASSERT(directory.take_unneeded(at(5100)) == std::vector { member(2, 0).address });
     }
 
-    // All routers connect to the seeds at first, of which they know the addresses alone. A trial showed the seeds with
-    // a link to each router of the fleet for as long as it ran.
-    void two_routers_that_need_not_hear_each_other_part()
+    // Guards against permanent connections to the seeds. All routers connect to the seeds at their start, when they
+    // know only the addresses; without a disconnect, each seed keeps a connection to every router of the fleet.
+    void unneeded_connections_to_seeds_are_closed()
     {
-        peer_directory starting(member(0, 5));
-        starting.add_seed(member(2, 0).address);
-        CPPUNIT_ASSERT(connect(starting, 0, at(1000)) == std::vector { member(2, 0).address });
-        CPPUNIT_ASSERT(starting.wanted_links() == std::vector { member(2, 0).address });
-        // The seed connects back and tells who it is, and who the others are.
-        starting.note_heard(member(2, 0), false, at(1100));
-        starting.take_table(table());
-        hear_neighbours(starting, 0, at(1900));
-        CPPUNIT_ASSERT(starting.wanted_links().empty());
-        starting.note_heard(member(2, 0), false, at(1900));
-        (void)starting.take_due(at(1900));
-        CPPUNIT_ASSERT(starting.take_needless(at(1900)) == std::vector { member(2, 0).address });
+        peer_directory directory(member(0, 5));
+        directory.add_seed(member(2, 0).address);
+        CPPUNIT_ASSERT(connect(directory, 0, at(1000)) == std::vector { member(2, 0).address });
+        CPPUNIT_ASSERT(directory.wanted_reverse_links() == std::vector { member(2, 0).address });
+        // The seed connects back and reports itself and the other routers.
+        directory.record_direct_report(member(2, 0), false, at(1100));
+        directory.apply_table(table());
+        receive_domain_reports(directory, 0, at(1900));
+        CPPUNIT_ASSERT(directory.wanted_reverse_links().empty());
+        directory.record_direct_report(member(2, 0), false, at(1900));
+        (void)directory.take_due(at(1900));
+        CPPUNIT_ASSERT(directory.take_unneeded(at(1900)) == std::vector { member(2, 0).address });
     }
 
-    // Three seconds without a teller, and everything that other failure domains know of this one is forgotten.
-    void another_router_tells_when_the_teller_is_gone()
+    // A new delegate has to take over quickly: other failure domains discard all state of a domain after three seconds
+    // without a delegate.
+    void another_router_replaces_a_lost_delegate()
     {
         auto second = make_directory(1, 1);
         (void)connect(second, 1, at(1000));
         for (std::int64_t now = 1100; now <= 3000; now += 100) {
-            hear_neighbours(second, 1, at(now));
+            receive_domain_reports(second, 1, at(now));
             CPPUNIT_ASSERT(connect(second, 1, at(now)).empty());
         }
         std::int64_t connected_at = 0;
         for (std::int64_t now = 3100; now <= 5000 && connected_at == 0; now += 100) {
-            hear_neighbours(second, 1, at(now), { 0 });
+            receive_domain_reports(second, 1, at(now), { 0 });
             if (connect(second, 1, at(now)).size() == 2)
                 connected_at = now;
         }
         CPPUNIT_ASSERT(connected_at > 0);
         CPPUNIT_ASSERT(connected_at - 3000 <= 700);
-        // It is back: the links go.
-        hear_neighbours(second, 1, at(6000));
+        // The first delegate is back, so the connections to other failure domains are not needed any more.
+        receive_domain_reports(second, 1, at(6000));
         (void)second.take_due(at(6000));
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, second.take_needless(at(6000)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, second.take_unneeded(at(6000)).size());
     }
 
-    void a_router_with_too_much_to_do_does_not_tell()
+    void an_overloaded_router_is_not_the_delegate()
     {
         auto second = make_directory(1, 1);
         (void)connect(second, 1, at(1000));
-        hear_neighbours(second, 1, at(2000));
-        second.note_heard(member(1, 0), true, at(2000));
+        receive_domain_reports(second, 1, at(2000));
+        second.record_direct_report(member(1, 0), true, at(2000));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, connect(second, 1, at(2000)).size());
     }
 
-    void a_contact_that_is_silent_is_replaced()
+    void a_silent_remote_peer_is_replaced()
     {
-        auto teller = make_directory(1, 0);
-        (void)connect(teller, 1, at(1000));
-        hear_neighbours(teller, 1, at(2000));
-        (void)connect(teller, 1, at(2000));
-        // One failure domain answers, the other one's contact is cut off; then the next one is lost at once.
+        auto delegate = make_directory(1, 0);
+        (void)connect(delegate, 1, at(1000));
+        receive_domain_reports(delegate, 1, at(2000));
+        (void)connect(delegate, 1, at(2000));
+        // One failure domain sends sums. The remote peer of the other one is silent, and its replacement disconnects at
+        // once.
         std::vector<std::string> tried;
         for (std::int64_t now = 2100; now <= 4500; now += 100) {
-            hear_neighbours(teller, 1, at(now));
-            teller.note_domain_heard(failure_domain("d0"), at(now));
-            for (auto const& address : connect(teller, 1, at(now))) {
+            receive_domain_reports(delegate, 1, at(now));
+            delegate.record_domain_sums(failure_domain("d0"), at(now));
+            for (auto const& address : connect(delegate, 1, at(now))) {
                 tried.push_back(address);
                 if (tried.size() == 1)
-                    teller.note_lost(address, at(now), 0);
+                    delegate.record_disconnected(address, at(now), 0);
             }
         }
         CPPUNIT_ASSERT(tried.size() >= 2);
@@ -211,15 +214,15 @@
         CPPUNIT_ASSERT(std::ranges::none_of(tried, [](auto const& address) { return address.starts_with("10.0."); }));
     }
 
-    void rows_of_another_failure_domain_are_left_to_its_routers()
+    void stale_rows_of_other_failure_domains_are_not_removed()
     {
-        auto teller = make_directory(1, 0);
-        (void)connect(teller, 1, at(1000));
-        hear_neighbours(teller, 1, at(2000));
-        for (auto const& address : connect(teller, 1, at(2000)))
-            teller.note_lost(address, at(2100), 0);
-        teller.note_lost(member(1, 3).address, at(2100), 0);
-        CPPUNIT_ASSERT(teller.rows_of_the_dead(at(30000)) == std::vector { member(1, 3).address });
+        auto delegate = make_directory(1, 0);
+        (void)connect(delegate, 1, at(1000));
+        receive_domain_reports(delegate, 1, at(2000));
+        for (auto const& address : connect(delegate, 1, at(2000)))
+            delegate.record_disconnected(address, at(2100), 0);
+        delegate.record_disconnected(member(1, 3).address, at(2100), 0);
+        CPPUNIT_ASSERT(delegate.stale_rows(at(30000)) == std::vector { member(1, 3).address });
     }
 };
 
--- a/tests/peering/peer_message_test.cpp
+++ b/tests/peering/peer_message_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Messages between routers on the wire and back, and when a router that is not heard is tried again.
+// Tests that messages between routers are decoded as they were encoded, and when an unreachable router is retried.
 #include "libraries/peering/peer_message.h"
 
 #include "base/hash.h"
@@ -11,11 +11,11 @@
 
 class peer_message_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_message_test);
-    CPPUNIT_TEST(peer_messages_survive_the_wire);
-    CPPUNIT_TEST(peers_are_tried_with_back_off_and_forgotten);
+    CPPUNIT_TEST(peer_messages_round_trip);
+    CPPUNIT_TEST(peers_are_retried_with_back_off_and_removed);
     CPPUNIT_TEST_SUITE_END();
 
-    void peer_messages_survive_the_wire()
+    void peer_messages_round_trip()
     {
         state_message state;
         state.report.peer = vm_name("a");
@@ -27,7 +27,7 @@
         state.documents = { { document_kind::endpoints, 9, milliseconds(30) } };
         state.members = { { "10.0.0.2:1", failure_domain("south"), 90 } };
         state.number = 12;
-        state.is_passed_on = true;
+        state.is_forwarded = true;
         state.weight = 500;
         state.report.domain = failure_domain("north");
         state.report.subject = dispatch::report_subject::domain;
@@ -38,23 +38,23 @@
         auto const frame = encode_frame(state);
         CPPUNIT_ASSERT_EQUAL(frame.size(), *frame_size(frame));
         CPPUNIT_ASSERT(!frame_size(frame.substr(0, 3)));
-        auto const read = decode_body(std::string_view(frame).substr(frame_head_size));
-        auto const& back = std::get<state_message>(*read);
-        CPPUNIT_ASSERT_EQUAL(token_of(state), token_of(back));
+        auto const read = decode_body(std::string_view(frame).substr(frame_header_size));
+        auto const& decoded = std::get<state_message>(*read);
+        CPPUNIT_ASSERT_EQUAL(text_of(state), text_of(decoded));
         document_message document { document_kind::endpoints,
             { 5, { { "k", { "v", 3 } } }, { { "old", 6 } }, 77, 9, 7 } };
-        auto const other = encode_frame(document);
-        auto const document_back = decode_body(std::string_view(other).substr(frame_head_size));
-        auto const& told = std::get<document_message>(*document_back);
-        CPPUNIT_ASSERT_EQUAL(std::string("v"), told.rows.rows.at("k").value);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 7 }, told.rows.changed_version);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 9 }, told.rows.version);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, told.rows.since.value());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 77 }, told.rows.keys_hash);
-        CPPUNIT_ASSERT_EQUAL(std::string("old"), told.rows.gone.at(0).key);
-        auto const wanted = encode_frame(document_wanted { document_kind::endpoints, 3, "10.0.0.1:1", 8 });
-        auto const wanted_back = decode_body(std::string_view(wanted).substr(frame_head_size));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 8 }, std::get<document_wanted>(*wanted_back).since);
+        auto const document_frame = encode_frame(document);
+        auto const decoded_document = decode_body(std::string_view(document_frame).substr(frame_header_size));
+        auto const& table = std::get<document_message>(*decoded_document);
+        CPPUNIT_ASSERT_EQUAL(std::string("v"), table.rows.rows.at("k").value);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 7 }, table.rows.changed_version);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 9 }, table.rows.version);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, table.rows.since.value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 77 }, table.rows.keys_hash);
+        CPPUNIT_ASSERT_EQUAL(std::string("old"), table.rows.gone.at(0).key);
+        auto const request_frame = encode_frame(document_request { document_kind::endpoints, 3, "10.0.0.1:1", 8 });
+        auto const decoded_request = decode_body(std::string_view(request_frame).substr(frame_header_size));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 8 }, std::get<document_request>(*decoded_request).since);
     }
 
     static std::string load_text_of(dispatch::endpoint_load const& load)
@@ -64,13 +64,13 @@
             + std::to_string(load.read.time_ms) + " ";
     }
 
-    static std::string token_of(state_message const& state)
+    static std::string text_of(state_message const& state)
     {
         auto const* const scope = state.report.scope == dispatch::report_scope::whole ? " whole " : " changes ";
         return state.report.peer.value() + scope + load_text_of(state.report.loads.at(0))
             + std::to_string(state.report.teams.at(0).admitted) + std::to_string(state.report.parts.at(0).part)
             + state.address + std::to_string(state.documents.at(0).version) + to_text(state.members.at(0))
-            + std::to_string(state.number) + (state.is_passed_on ? " passed on " : " ") + to_text(state.sender())
+            + std::to_string(state.number) + (state.is_forwarded ? " passed on " : " ") + to_text(state.sender())
             + state.report.source().value() + std::to_string(state.report.routers)
             + std::to_string(state.report.routers_aside) + crash_text_of(state.report.crashes.at(0));
     }
@@ -83,21 +83,21 @@
             + (record.was_answered ? " answered" : "");
     }
 
-    void peers_are_tried_with_back_off_and_forgotten()
+    void peers_are_retried_with_back_off_and_removed()
     {
         auto const at = [](std::int64_t time) { return instant(milliseconds(time)); };
         peer_directory directory({ "own:1", {}, 0 });
         directory.add_seed("own:1");
-        directory.take_table({ { "a", { "a:1", {}, 0 } }, { "me", { "own:1", {}, 0 } } });
+        directory.apply_table({ { "a", { "a:1", {}, 0 } }, { "me", { "own:1", {}, 0 } } });
         CPPUNIT_ASSERT(directory.take_due(at(1000)) == std::vector<std::string> { "a:1" });
         CPPUNIT_ASSERT(directory.take_due(at(1000)).empty());
-        directory.note_lost("a:1", at(1000), 0);
+        directory.record_disconnected("a:1", at(1000), 0);
         CPPUNIT_ASSERT(directory.take_due(at(1001)).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, directory.take_due(at(3000)).size());
-        directory.note_lost("a:1", at(3000), 0);
-        CPPUNIT_ASSERT(directory.rows_of_the_dead(at(10000)).empty());
-        CPPUNIT_ASSERT(directory.rows_of_the_dead(at(17000)) == std::vector<std::string> { "a" });
-        directory.take_table({});
+        directory.record_disconnected("a:1", at(3000), 0);
+        CPPUNIT_ASSERT(directory.stale_rows(at(10000)).empty());
+        CPPUNIT_ASSERT(directory.stale_rows(at(17000)) == std::vector<std::string> { "a" });
+        directory.apply_table({});
         CPPUNIT_ASSERT(directory.take_due(at(30000)).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, directory.size());
     }
--- a/tests/platform/binding_test.cpp
+++ b/tests/platform/binding_test.cpp
@@ -442,9 +442,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, read->regions.size());
         CPPUNIT_ASSERT_EQUAL(std::string("coast"), read->regions.at(failure_domain("south")).value());
         CPPUNIT_ASSERT(read->leaving_bound == milliseconds(3000));
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 4200 }, read->descriptors);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 4200 }, read->file_descriptor_limit);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 88000000 }, read->memory_bytes);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.19, read->processor_share, 0.001);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.19, read->cpu_cores, 0.001);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1000, read->link_megabits_per_second, 0.001);
         auto const missing = parse_settings(R"({"node_name":"edge-1","zone":"north","listen":{}})");
         CPPUNIT_ASSERT(missing.error().reason.find("frontend") != std::string::npos);
--- a/tests/relay/call_connection_test.cpp
+++ b/tests/relay/call_connection_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Calls to servers that keep, break or stretch the protocol.
+// Tests calls to servers that follow or violate the HTTP protocol.
 #include "libraries/relay/call_connection.h"
 
 #include "tests/relay/scripted_server.h"
@@ -11,28 +11,28 @@
 
 class call_connection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(call_connection_test);
-    CPPUNIT_TEST(an_answer_with_a_length_keeps_the_connection);
-    CPPUNIT_TEST(a_chunked_answer_comes_in_pieces);
+    CPPUNIT_TEST(an_answer_with_a_length_keeps_the_connection_open);
+    CPPUNIT_TEST(a_chunked_answer_is_delivered_in_parts);
     CPPUNIT_TEST(an_answer_without_a_length_ends_with_the_connection);
-    CPPUNIT_TEST(an_answer_without_a_length_that_is_reset_is_not_whole);
-    CPPUNIT_TEST(a_short_body_is_not_whole);
-    CPPUNIT_TEST(what_is_no_answer_breaks_the_call);
+    CPPUNIT_TEST(an_answer_without_a_length_that_is_reset_is_broken);
+    CPPUNIT_TEST(a_truncated_body_is_broken);
+    CPPUNIT_TEST(an_invalid_answer_breaks_the_call);
     CPPUNIT_TEST(bytes_after_the_answer_end_the_connection);
     CPPUNIT_TEST(a_second_answer_that_comes_late_is_skipped);
-    CPPUNIT_TEST(bytes_on_an_idle_connection_end_it);
-    CPPUNIT_TEST(a_dead_port_is_not_sent);
-    CPPUNIT_TEST(an_answer_that_comes_before_the_call_was_read_ends_the_connection);
-    CPPUNIT_TEST(a_close_is_heeded);
-    CPPUNIT_TEST(an_abandoned_call_says_nothing);
+    CPPUNIT_TEST(bytes_on_an_idle_connection_close_it);
+    CPPUNIT_TEST(a_call_to_a_closed_port_is_not_sent);
+    CPPUNIT_TEST(an_answer_before_the_call_was_read_ends_the_connection);
+    CPPUNIT_TEST(a_connection_close_field_is_obeyed);
+    CPPUNIT_TEST(an_abandoned_call_makes_no_callbacks);
     CPPUNIT_TEST_SUITE_END();
 
     class collected_call final : public call_listener {
     public:
-        head_choice on_head(answer_head const& head) override
+        head_decision on_head(answer_head const& head) override
         {
             statuses.push_back(head.result_int());
             auto const id = field_of(head, "Id");
-            return wanted_id.empty() || id == wanted_id ? head_choice::take : head_choice::skip;
+            return wanted_id.empty() || id == wanted_id ? head_decision::accept : head_decision::skip;
         }
         void on_data(std::string_view data) override { body += data; }
         void on_call_end(call_end ended) override { end = ended; }
@@ -43,7 +43,7 @@
         std::optional<call_end> end;
     };
 
-    static constexpr char const* question = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
+    static constexpr char const* simple_call = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
     event_loop m_loop;
 
@@ -53,97 +53,97 @@
             m_loop.run_once(milliseconds(5));
     }
 
-    void run_some()
+    void run_several_rounds()
     {
         for (int round = 0; round < 10; ++round)
             m_loop.run_once(milliseconds(2));
     }
 
-    struct asked {
+    struct started_call {
         std::shared_ptr<call_connection> connection;
         std::unique_ptr<collected_call> call;
     };
 
-    asked ask(std::string const& address, std::string call = question)
+    started_call run_call(std::string const& address, std::string call = simple_call)
     {
-        asked made { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
-        made.connection->start(address, std::move(call), *made.call);
-        run_until_ended(*made.call);
-        return made;
+        started_call started { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
+        started.connection->start(address, std::move(call), *started.call);
+        run_until_ended(*started.call);
+        return started;
     }
 
-    void an_answer_with_a_length_keeps_the_connection()
+    void an_answer_with_a_length_keeps_the_connection_open()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nhi");
         server.add("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-        auto const first = ask(server.address());
+        auto const first = run_call(server.address());
         CPPUNIT_ASSERT(first.call->end == call_end::complete);
         CPPUNIT_ASSERT_EQUAL(std::string("hi"), first.call->body);
         CPPUNIT_ASSERT(first.connection->is_idle());
-        // A little earlier than the server says.
-        CPPUNIT_ASSERT(first.connection->kept_until() - first.connection->idle_since() == milliseconds(7000));
+        // 70 percent of the timeout that the server announced.
+        CPPUNIT_ASSERT(first.connection->reusable_until() - first.connection->idle_since() == milliseconds(7000));
         collected_call second;
-        first.connection->start(server.address(), question, second);
+        first.connection->start(server.address(), simple_call, second);
         run_until_ended(second);
         CPPUNIT_ASSERT(second.end == call_end::complete);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, server.connections());
     }
 
-    void a_chunked_answer_comes_in_pieces()
+    void a_chunked_answer_is_delivered_in_parts()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel");
-        asked made { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
-        made.connection->start(server.address(), question, *made.call);
-        for (int round = 0; round < 400 && made.call->body.empty(); ++round)
+        started_call started { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
+        started.connection->start(server.address(), simple_call, *started.call);
+        for (int round = 0; round < 400 && started.call->body.empty(); ++round)
             m_loop.run_once(milliseconds(5));
-        CPPUNIT_ASSERT_EQUAL(std::string("hel"), made.call->body);
-        server.say("lo\r\n1\r\n!\r\n0\r\n\r\n");
-        run_until_ended(*made.call);
-        CPPUNIT_ASSERT_EQUAL(std::string("hello!"), made.call->body);
-        CPPUNIT_ASSERT(made.call->end == call_end::complete);
+        CPPUNIT_ASSERT_EQUAL(std::string("hel"), started.call->body);
+        server.send("lo\r\n1\r\n!\r\n0\r\n\r\n");
+        run_until_ended(*started.call);
+        CPPUNIT_ASSERT_EQUAL(std::string("hello!"), started.call->body);
+        CPPUNIT_ASSERT(started.call->end == call_end::complete);
     }
 
     void an_answer_without_a_length_ends_with_the_connection()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\n\r\nall of it", after_reply::close);
-        auto const made = ask(server.address());
-        CPPUNIT_ASSERT(made.call->end == call_end::complete);
-        CPPUNIT_ASSERT_EQUAL(std::string("all of it"), made.call->body);
-        CPPUNIT_ASSERT(!made.connection->is_open());
+        auto const started = run_call(server.address());
+        CPPUNIT_ASSERT(started.call->end == call_end::complete);
+        CPPUNIT_ASSERT_EQUAL(std::string("all of it"), started.call->body);
+        CPPUNIT_ASSERT(!started.connection->is_open());
     }
 
-    void an_answer_without_a_length_that_is_reset_is_not_whole()
+    void an_answer_without_a_length_that_is_reset_is_broken()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\n\r\nhalf of", after_reply::reset);
-        CPPUNIT_ASSERT(ask(server.address()).call->end == call_end::broken);
+        CPPUNIT_ASSERT(run_call(server.address()).call->end == call_end::broken);
     }
 
-    void a_short_body_is_not_whole()
+    void a_truncated_body_is_broken()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", after_reply::close);
-        CPPUNIT_ASSERT(ask(server.address()).call->end == call_end::broken);
+        CPPUNIT_ASSERT(run_call(server.address()).call->end == call_end::broken);
     }
 
-    void what_is_no_answer_breaks_the_call()
+    void an_invalid_answer_breaks_the_call()
     {
         scripted_server server(m_loop);
         server.add("\x01\x02 no answer\r\n\r\n");
-        CPPUNIT_ASSERT(ask(server.address()).call->end == call_end::broken);
+        CPPUNIT_ASSERT(run_call(server.address()).call->end == call_end::broken);
     }
 
     void bytes_after_the_answer_end_the_connection()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
-        auto const made = ask(server.address());
-        CPPUNIT_ASSERT(made.call->end == call_end::complete);
-        CPPUNIT_ASSERT_EQUAL(std::string("hi"), made.call->body);
-        CPPUNIT_ASSERT(!made.connection->is_idle());
+        auto const started = run_call(server.address());
+        CPPUNIT_ASSERT(started.call->end == call_end::complete);
+        CPPUNIT_ASSERT_EQUAL(std::string("hi"), started.call->body);
+        CPPUNIT_ASSERT(!started.connection->is_idle());
     }
 
     void a_second_answer_that_comes_late_is_skipped()
@@ -151,65 +151,65 @@
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nId: new\r\n"
                    "Content-Length: 3\r\n\r\nnew");
-        asked made { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
-        made.call->wanted_id = "new";
-        made.connection->start(server.address(), question, *made.call);
-        run_until_ended(*made.call);
-        CPPUNIT_ASSERT(made.call->end == call_end::complete);
-        CPPUNIT_ASSERT_EQUAL(std::string("new"), made.call->body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, made.call->statuses.size());
+        started_call started { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
+        started.call->wanted_id = "new";
+        started.connection->start(server.address(), simple_call, *started.call);
+        run_until_ended(*started.call);
+        CPPUNIT_ASSERT(started.call->end == call_end::complete);
+        CPPUNIT_ASSERT_EQUAL(std::string("new"), started.call->body);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, started.call->statuses.size());
     }
 
-    void bytes_on_an_idle_connection_end_it()
+    void bytes_on_an_idle_connection_close_it()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        auto const made = ask(server.address());
-        CPPUNIT_ASSERT(made.connection->is_idle());
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        run_some();
-        CPPUNIT_ASSERT(!made.connection->is_idle());
+        auto const started = run_call(server.address());
+        CPPUNIT_ASSERT(started.connection->is_idle());
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        run_several_rounds();
+        CPPUNIT_ASSERT(!started.connection->is_idle());
     }
 
-    void a_dead_port_is_not_sent()
+    void a_call_to_a_closed_port_is_not_sent()
     {
         std::string address;
         {
-            scripted_server const gone(m_loop);
-            address = gone.address();
+            scripted_server const closed_server(m_loop);
+            address = closed_server.address();
         }
-        CPPUNIT_ASSERT(ask(address).call->end == call_end::not_sent);
-        CPPUNIT_ASSERT(ask("not an address").call->end == call_end::not_sent);
+        CPPUNIT_ASSERT(run_call(address).call->end == call_end::not_sent);
+        CPPUNIT_ASSERT(run_call("not an address").call->end == call_end::not_sent);
     }
 
-    void an_answer_that_comes_before_the_call_was_read_ends_the_connection()
+    void an_answer_before_the_call_was_read_ends_the_connection()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 413 Payload Too Large\r\nContent-Length: 0\r\n\r\n", after_reply::stay);
         std::string const body(std::size_t { 40 } << 20U, 'x');
-        auto const made = ask(server.address(),
+        auto const started = run_call(server.address(),
             "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-        CPPUNIT_ASSERT(made.call->end.has_value());
-        // What is left of the body must reach no other call.
-        CPPUNIT_ASSERT(!made.connection->is_idle());
+        CPPUNIT_ASSERT(started.call->end.has_value());
+        // The rest of the body must not be sent as part of another call.
+        CPPUNIT_ASSERT(!started.connection->is_idle());
     }
 
-    void a_close_is_heeded()
+    void a_connection_close_field_is_obeyed()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        CPPUNIT_ASSERT(!ask(server.address()).connection->is_idle());
+        CPPUNIT_ASSERT(!run_call(server.address()).connection->is_idle());
     }
 
-    void an_abandoned_call_says_nothing()
+    void an_abandoned_call_makes_no_callbacks()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
         auto const connection = std::make_shared<call_connection>(m_loop);
         collected_call call;
-        connection->start(server.address(), question, call);
+        connection->start(server.address(), simple_call, call);
         connection->abandon();
-        run_some();
+        run_several_rounds();
         CPPUNIT_ASSERT(!call.end);
     }
 };
