--- a/tests/relay/caller_connection_test.cpp
+++ b/tests/relay/caller_connection_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Callers who send whole, cut, chunked, pipelined and smuggled requests.
+// Tests callers that send complete, truncated, chunked, pipelined and smuggled requests, and the parsing of event
+// streams.
 #include "libraries/relay/caller_connection.h"
 
 #include "libraries/relay/event_stream.h"
@@ -15,10 +16,10 @@
 class caller_connection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(caller_connection_test);
     CPPUNIT_TEST(a_chunked_body_is_read_whole);
-    CPPUNIT_TEST(requests_in_a_row_are_answered_in_order);
+    CPPUNIT_TEST(pipelined_requests_are_answered_in_order);
     CPPUNIT_TEST(a_smuggled_request_is_refused);
-    CPPUNIT_TEST(limits_are_kept);
-    CPPUNIT_TEST(a_caller_who_closes_is_gone);
+    CPPUNIT_TEST(limits_are_enforced);
+    CPPUNIT_TEST(a_close_by_the_caller_is_reported);
     CPPUNIT_TEST(a_request_whose_caller_has_left_is_not_taken_up);
     CPPUNIT_TEST(an_answer_reaches_a_caller_who_is_let_go);
     CPPUNIT_TEST(a_broken_answer_does_not_look_whole);
@@ -27,7 +28,7 @@
     CPPUNIT_TEST(a_missing_event_is_seen);
     CPPUNIT_TEST_SUITE_END();
 
-    // The other end of a caller_connection.
+    // The caller's end of a caller_connection.
     class client final : public io_handler {
     public:
         client(event_loop& loop, std::string const& address)
@@ -38,7 +39,7 @@
         void send(std::string const& bytes)
         {
             m_socket.queue(bytes);
-            if (m_is_up)
+            if (m_is_connected)
                 (void)m_socket.flush();
         }
         void close() { m_socket.close(); }
@@ -48,8 +49,8 @@
     private:
         void on_ready(readiness) override
         {
-            if (!m_is_up) {
-                m_is_up = m_socket.has_connected();
+            if (!m_is_connected) {
+                m_is_connected = m_socket.finish_connect();
                 (void)m_socket.flush();
                 return;
             }
@@ -61,7 +62,7 @@
             }
         }
         socket m_socket;
-        bool m_is_up { false };
+        bool m_is_connected { false };
     };
 
     class server final : public caller_listener {
@@ -80,7 +81,7 @@
         void on_request(caller_connection& from, caller_request request) override
         {
             requests.push_back(std::move(request));
-            if (answers_at_once)
+            if (answers_immediately)
                 answer(from);
         }
         static void answer(caller_connection& to)
@@ -94,12 +95,12 @@
             from.out() += "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
             from.finish_answer();
         }
-        void on_caller_gone(caller_connection&) override { is_gone = true; }
+        void on_caller_disconnected(caller_connection&) override { is_disconnected = true; }
 
-        bool answers_at_once { true };
+        bool answers_immediately { true };
         std::vector<caller_request> requests;
         unsigned bad_status { 0 };
-        bool is_gone { false };
+        bool is_disconnected { false };
         std::shared_ptr<caller_connection> connection;
 
     private:
@@ -127,7 +128,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("/a?b"), std::string(served.requests.at(0).target()));
     }
 
-    void requests_in_a_row_are_answered_in_order()
+    void pipelined_requests_are_answered_in_order()
     {
         server served(m_loop);
         client caller(m_loop, served.address());
@@ -150,76 +151,78 @@
         CPPUNIT_ASSERT(served.requests.empty());
     }
 
-    void limits_are_kept()
+    void limits_are_enforced()
     {
         server served(m_loop, { 200, 10 });
-        client large(m_loop, served.address());
-        large.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\nabcdefghijk");
+        client large_body(m_loop, served.address());
+        large_body.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\nabcdefghijk");
         run_until([&] { return served.bad_status != 0; });
         CPPUNIT_ASSERT_EQUAL(413U, served.bad_status);
         served.bad_status = 0;
-        client wordy(m_loop, served.address());
-        wordy.send("GET / HTTP/1.1\r\nHost: x\r\nWords: " + std::string(300, 'w') + "\r\n\r\n");
+        client large_header(m_loop, served.address());
+        large_header.send("GET / HTTP/1.1\r\nHost: x\r\nWords: " + std::string(300, 'w') + "\r\n\r\n");
         run_until([&] { return served.bad_status != 0; });
         CPPUNIT_ASSERT_EQUAL(431U, served.bad_status);
     }
 
-    void a_caller_who_closes_is_gone()
+    void a_close_by_the_caller_is_reported()
     {
         server served(m_loop);
-        served.answers_at_once = false;
+        served.answers_immediately = false;
         client caller(m_loop, served.address());
         caller.send("GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
         run_until([&] { return !served.requests.empty(); });
-        CPPUNIT_ASSERT(!served.is_gone);
+        CPPUNIT_ASSERT(!served.is_disconnected);
         caller.close();
-        run_until([&] { return served.is_gone; });
-        CPPUNIT_ASSERT(served.is_gone);
+        run_until([&] { return served.is_disconnected; });
+        CPPUNIT_ASSERT(served.is_disconnected);
     }
 
     void a_request_whose_caller_has_left_is_not_taken_up()
     {
         server served(m_loop);
-        // It sends and closes before the loop has time for it.
+        // The caller sends a request and closes before the loop runs.
         auto const descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in target {};
         target.sin_family = AF_INET;
         target.sin_port = htons(served.port());
         target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        auto* const generic = reinterpret_cast<sockaddr*>(&target); // NOLINT: the system's own idiom
+        auto* const generic
+            = reinterpret_cast<sockaddr*>(&target); // NOLINT: the POSIX socket interface requires this cast
         CPPUNIT_ASSERT_EQUAL(0, ::connect(descriptor, generic, sizeof(target)));
         std::string const request = "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n";
         CPPUNIT_ASSERT(::send(descriptor, request.data(), request.size(), 0) > 0);
         ::close(descriptor);
-        run_until([&] { return served.is_gone; });
-        CPPUNIT_ASSERT(served.is_gone);
+        run_until([&] { return served.is_disconnected; });
+        CPPUNIT_ASSERT(served.is_disconnected);
         CPPUNIT_ASSERT(served.requests.empty());
     }
 
-    // A router that stops lets its callers go in the moment in which it has answered one.
+    // Guards against the loss of an answer that was completed, but not yet written, when a stopping router releases its
+    // callers.
     void an_answer_reaches_a_caller_who_is_let_go()
     {
         server served(m_loop);
-        served.answers_at_once = false;
+        served.answers_immediately = false;
         client caller(m_loop, served.address());
         caller.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
         run_until([&] { return !served.requests.empty(); });
         server::answer(*served.connection);
-        served.connection->let_go();
+        served.connection->close_after_flush();
         run_until([&] { return caller.is_closed; });
         CPPUNIT_ASSERT(caller.received.starts_with("HTTP/1.1 200"));
-        CPPUNIT_ASSERT(served.is_gone);
+        CPPUNIT_ASSERT(served.is_disconnected);
     }
 
     void a_broken_answer_does_not_look_whole()
     {
         server served(m_loop);
-        served.answers_at_once = false;
+        served.answers_immediately = false;
         client caller(m_loop, served.address());
         caller.send("GET /1 HTTP/1.1\r\nHost: x\r\n\r\n");
         run_until([&] { return !served.requests.empty(); });
         served.connection->out() += "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
-        served.connection->break_off();
+        served.connection->abort_answer();
         run_until([&] { return caller.is_closed; });
         CPPUNIT_ASSERT(caller.received.ends_with("2\r\nab\r\n"));
     }
@@ -227,11 +230,11 @@
     void only_whole_events_are_passed_on()
     {
         event_stream stream;
-        std::string whole;
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.take("id: 1\ndata: a\n\nid: 2\nda", whole));
-        CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), whole);
+        std::string events;
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.feed("id: 1\ndata: a\n\nid: 2\nda", events));
+        CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"), events);
         CPPUNIT_ASSERT_EQUAL(std::string("1"), stream.last_id());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.take("ta: b\r\n\r\n", whole));
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.feed("ta: b\r\n\r\n", events));
         CPPUNIT_ASSERT_EQUAL(std::string("2"), stream.last_id());
         CPPUNIT_ASSERT(stream.partial().empty());
     }
@@ -239,22 +242,22 @@
     void events_that_come_again_are_left_out()
     {
         event_stream stream;
-        std::string whole;
-        stream.take("id: 1\n\nid: 2\n\nid: 3\nda", whole);
-        // Another endpoint begins one event too early.
+        std::string events;
+        stream.feed("id: 1\n\nid: 2\n\nid: 3\nda", events);
+        // Another endpoint resumes the stream one event too early.
         stream.drop_partial();
-        whole.clear();
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.take("id: 2\n\nid: 3\n\n", whole));
-        CPPUNIT_ASSERT_EQUAL(std::string("id: 3\n\n"), whole);
+        events.clear();
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, stream.feed("id: 2\n\nid: 3\n\n", events));
+        CPPUNIT_ASSERT_EQUAL(std::string("id: 3\n\n"), events);
         CPPUNIT_ASSERT(!stream.has_gap());
     }
 
     void a_missing_event_is_seen()
     {
         event_stream stream;
-        std::string whole;
-        stream.take("id: 1\n\n", whole);
-        stream.take("id: 3\n\n", whole);
+        std::string events;
+        stream.feed("id: 1\n\n", events);
+        stream.feed("id: 3\n\n", events);
         CPPUNIT_ASSERT(stream.has_gap());
     }
 };
--- a/tests/relay/event_loop_test.cpp
+++ b/tests/relay/event_loop_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The clock of the loop, which is that of all that a router holds against time.
+// Tests the clock of the event loop, by which a router measures all of its time limits.
 #include "libraries/relay/event_loop.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,17 +9,17 @@
 
 class event_loop_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(event_loop_test);
-    CPPUNIT_TEST(time_in_which_the_machine_was_suspended_counts);
+    CPPUNIT_TEST(time_while_the_machine_is_suspended_counts);
     CPPUNIT_TEST(the_clock_is_the_one_that_counts_suspension);
     CPPUNIT_TEST_SUITE_END();
 
     static inline boot_clock::time_point s_time {};
-    static boot_clock::time_point driven_time() { return s_time; }
+    static boot_clock::time_point test_time() { return s_time; }
 
-    void time_in_which_the_machine_was_suspended_counts()
+    void time_while_the_machine_is_suspended_counts()
     {
         s_time = boot_clock::time_point(std::chrono::seconds(100));
-        event_loop loop(driven_time);
+        event_loop loop(test_time);
         auto const before = loop.now();
         s_time += std::chrono::seconds(7);
         loop.run_once(milliseconds(0));
--- a/tests/relay/link_meter_test.cpp
+++ b/tests/relay/link_meter_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// How full a link is, by what sockets carry.
+// Tests the link's utilisation as computed from the bytes of the sockets.
 #include "libraries/relay/link_meter.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,7 +9,7 @@
 class link_meter_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(link_meter_test);
     CPPUNIT_TEST(the_fuller_direction_counts);
-    CPPUNIT_TEST(a_link_of_unknown_width_is_never_full);
+    CPPUNIT_TEST(a_link_of_unknown_capacity_is_never_full);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::int64_t ns_per_second = 1'000'000'000;
@@ -17,22 +17,22 @@
     void the_fuller_direction_counts()
     {
         link_meter meter;
-        // 1.25 MB a second each way.
+        // 1.25 MB per second in each direction.
         meter.set_megabits_per_second(10);
-        (void)meter.take_part(ns_per_second);
-        meter.note_sent(125'000);
-        meter.note_received(625'000);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.535, meter.take_part(2 * ns_per_second), 0.001);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, meter.take_part(3 * ns_per_second), 0.001);
-        meter.note_sent(9'000'000);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, meter.take_part(4 * ns_per_second), 0.001);
+        (void)meter.take_fraction(ns_per_second);
+        meter.record_sent(125'000);
+        meter.record_received(625'000);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.535, meter.take_fraction(2 * ns_per_second), 0.001);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, meter.take_fraction(3 * ns_per_second), 0.001);
+        meter.record_sent(9'000'000);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, meter.take_fraction(4 * ns_per_second), 0.001);
     }
 
-    void a_link_of_unknown_width_is_never_full()
+    void a_link_of_unknown_capacity_is_never_full()
     {
         link_meter meter;
-        meter.note_sent(9'000'000);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, meter.take_part(ns_per_second), 0.001);
+        meter.record_sent(9'000'000);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, meter.take_fraction(ns_per_second), 0.001);
     }
 };
 
--- a/tests/relay/peer_mesh_test.cpp
+++ b/tests/relay/peer_mesh_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Links between routers, on loopback.
+// Tests the connections between routers on the loopback interface.
 #include "libraries/relay/peer_mesh.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,42 +10,42 @@
     CPPUNIT_TEST_SUITE(peer_mesh_test);
     CPPUNIT_TEST(a_message_that_is_not_known_is_skipped);
     CPPUNIT_TEST(sums_go_to_other_failure_domains_only);
-    CPPUNIT_TEST(what_is_told_is_counted_by_kind_at_both_ends);
-    CPPUNIT_TEST(a_buffer_that_rests_keeps_little);
+    CPPUNIT_TEST(messages_are_counted_by_kind_at_both_ends);
+    CPPUNIT_TEST(an_empty_buffer_frees_its_memory);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr int most_rounds = 1000;
+    static constexpr int max_rounds = 1000;
 
     struct router {
         router(event_loop& loop, char const* domain)
             : mesh(loop, peering::peer_directory({ "127.0.0.1:0", failure_domain(domain), 0 }),
-                [this](peering::peer_message message) { heard.push_back(std::move(message)); })
+                [this](peering::peer_message message) { received_messages.push_back(std::move(message)); })
         {
             CPPUNIT_ASSERT(mesh.open().has_value());
         }
 
         [[nodiscard]] std::string const& address() const { return mesh.own_address(); }
 
-        std::vector<peering::peer_message> heard;
+        std::vector<peering::peer_message> received_messages;
         peer_mesh mesh;
     };
 
     template <typename Condition>
     static void run_until(event_loop& loop, Condition&& condition)
     {
-        for (int round = 0; round < most_rounds; ++round) {
+        for (int round = 0; round < max_rounds; ++round) {
             if (condition())
                 return;
             loop.run_once(milliseconds(10));
         }
-        CPPUNIT_FAIL("it never came to that");
+        CPPUNIT_FAIL("the condition was not met in time");
     }
 
     static void connect(event_loop& loop, router& from, router const& to)
     {
         from.mesh.directory().add_seed(to.address());
         from.mesh.tick(0);
-        run_until(loop, [&] { return !from.mesh.take_new().empty(); });
+        run_until(loop, [&] { return !from.mesh.take_newly_connected().empty(); });
     }
 
     static std::string state_frame(char const* vm)
@@ -55,29 +55,30 @@
         return peering::encode_frame(state);
     }
 
-    // A router of a later version may send what an earlier one does not know.
+    // A router of a later version may send messages that this version cannot decode.
     void a_message_that_is_not_known_is_skipped()
     {
         event_loop loop;
         router a(loop, "north");
         router b(loop, "north");
         connect(loop, a, b);
-        a.mesh.tell(b.address(), std::string("\x03\x00\x00\x00", 4) + "???", traffic_kind::documents);
-        a.mesh.tell(b.address(), state_frame("a"), traffic_kind::documents);
-        run_until(loop, [&] { return !b.heard.empty(); });
+        a.mesh.send_to(b.address(), std::string("\x03\x00\x00\x00", 4) + "???", traffic_kind::documents);
+        a.mesh.send_to(b.address(), state_frame("a"), traffic_kind::documents);
+        run_until(loop, [&] { return !b.received_messages.empty(); });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, b.mesh.take_skipped());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, b.mesh.take_skipped());
     }
 
-    // Messages of 373 kB to routers that came up stayed in memory as long as their links.
-    void a_buffer_that_rests_keeps_little()
+    // Guards against buffers that keep the memory of a large message, such as the 373 kB sent to a router that has just
+    // started, for as long as the connection is open.
+    void an_empty_buffer_frees_its_memory()
     {
         std::string large(400'000, 'x');
-        release(large);
-        CPPUNIT_ASSERT(large.empty() && large.capacity() <= kept_capacity);
+        clear_buffer(large);
+        CPPUNIT_ASSERT(large.empty() && large.capacity() <= max_idle_capacity);
         std::string small("few");
         auto const before = small.capacity();
-        release(small);
+        clear_buffer(small);
         CPPUNIT_ASSERT_EQUAL(before, small.capacity());
     }
 
@@ -87,39 +88,41 @@
         router a(loop, "north");
         router b(loop, "north");
         router c(loop, "south");
-        // Enough routers that not all are connected to all.
+        // Makes the fleet too large for a full mesh.
         for (int index = 0; index < 20; ++index)
-            a.mesh.directory().add_told(
+            a.mesh.directory().add_reported(
                 { "127.0.0.1:" + std::to_string(index + 1), failure_domain("east"), 0 }, loop.now());
         connect(loop, a, b);
         connect(loop, a, c);
-        a.mesh.directory().add_told({ b.address(), failure_domain("north"), 0 }, loop.now());
-        a.mesh.directory().add_told({ c.address(), failure_domain("south"), 0 }, loop.now());
-        CPPUNIT_ASSERT(a.mesh.is_linked_to_domains());
-        a.mesh.tell_routers(state_frame("alone"), traffic_kind::own_state);
-        a.mesh.tell_domains(state_frame("sums"));
-        run_until(loop, [&] { return !b.heard.empty() && !c.heard.empty(); });
-        auto const name
-            = [](router const& to) { return std::get<peering::state_message>(to.heard.at(0)).report.peer.value(); };
+        a.mesh.directory().add_reported({ b.address(), failure_domain("north"), 0 }, loop.now());
+        a.mesh.directory().add_reported({ c.address(), failure_domain("south"), 0 }, loop.now());
+        CPPUNIT_ASSERT(a.mesh.is_connected_to_domains());
+        a.mesh.send_to_routers(state_frame("alone"), traffic_kind::own_state);
+        a.mesh.send_to_domains(state_frame("sums"));
+        run_until(loop, [&] { return !b.received_messages.empty() && !c.received_messages.empty(); });
+        auto const name = [](router const& to) {
+            return std::get<peering::state_message>(to.received_messages.at(0)).report.peer.value();
+        };
         CPPUNIT_ASSERT_EQUAL(std::string("alone"), name(b));
         CPPUNIT_ASSERT_EQUAL(std::string("sums"), name(c));
     }
 
-    void what_is_told_is_counted_by_kind_at_both_ends()
+    void messages_are_counted_by_kind_at_both_ends()
     {
         event_loop loop;
         router a(loop, "north");
         router b(loop, "north");
         connect(loop, a, b);
-        a.mesh.directory().add_told({ b.address(), failure_domain("north"), 0 }, loop.now());
+        a.mesh.directory().add_reported({ b.address(), failure_domain("north"), 0 }, loop.now());
         auto const frame = state_frame("a");
-        a.mesh.tell_routers(frame, traffic_kind::own_state);
+        a.mesh.send_to_routers(frame, traffic_kind::own_state);
         peering::state_message sums;
         sums.report.subject = dispatch::report_subject::domain;
-        sums.is_passed_on = true;
-        a.mesh.tell_routers(peering::encode_frame(sums), traffic_kind::passed_on);
-        a.mesh.tell(b.address(), peering::encode_frame(peering::link_wanted { a.address() }), traffic_kind::documents);
-        run_until(loop, [&] { return b.heard.size() == 3; });
+        sums.is_forwarded = true;
+        a.mesh.send_to_routers(peering::encode_frame(sums), traffic_kind::passed_on);
+        a.mesh.send_to(
+            b.address(), peering::encode_frame(peering::link_request { a.address() }), traffic_kind::documents);
+        run_until(loop, [&] { return b.received_messages.size() == 3; });
         auto const at = [](std::array<traffic_count, peer_traffic::kinds> const& counts, traffic_kind kind) {
             return counts.at(static_cast<std::size_t>(kind));
         };
--- a/tests/relay/request_content_test.cpp
+++ b/tests/relay/request_content_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Which requests count as the same.
+// Tests which requests have the same content.
 #include "libraries/relay/request_content.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,8 +8,8 @@
 
 class request_content_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(request_content_test);
-    CPPUNIT_TEST(a_request_that_comes_again_has_the_same_content);
-    CPPUNIT_TEST(another_method_host_target_or_body_is_another_content);
+    CPPUNIT_TEST(a_repeated_request_has_the_same_content);
+    CPPUNIT_TEST(method_host_target_and_body_change_the_content);
     CPPUNIT_TEST_SUITE_END();
 
     static caller_request make_request(std::string const& target = "/a/b?c=d", std::string const& body = "body")
@@ -19,14 +19,14 @@
         return request;
     }
 
-    void a_request_that_comes_again_has_the_same_content()
+    void a_repeated_request_has_the_same_content()
     {
         auto again = make_request();
         again.set("X-Id", "another");
         CPPUNIT_ASSERT(content_of(make_request()) == content_of(again));
     }
 
-    void another_method_host_target_or_body_is_another_content()
+    void method_host_target_and_body_change_the_content()
     {
         auto const content = content_of(make_request());
         auto other_method = make_request();
--- a/tests/relay/scripted_server.h
+++ b/tests/relay/scripted_server.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A server on loopback that answers each piece it reads with the next bytes of a script, on the test's own event loop.
+// A server on the loopback interface that answers each read with the next bytes of a script. It runs on the test's
+// event loop.
 #pragma once
 
 #include "libraries/relay/socket.h"
@@ -27,7 +28,7 @@
         (void)m_listener.open("127.0.0.1:0");
     }
 
-    // Replies are given in order, one for each piece that is read on any connection.
+    // Adds a reply. Replies are sent in order, one for each read on any connection.
     void add(std::string bytes, after_reply then = after_reply::stay)
     {
         m_replies.push_back({ std::move(bytes), then });
@@ -35,8 +36,8 @@
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(m_listener.port()); }
     [[nodiscard]] std::string const& received() const { return m_received; }
     [[nodiscard]] std::size_t connections() const { return m_connections.size(); }
-    // Bytes that nobody asked for, on the newest connection.
-    void say(std::string const& bytes) { m_connections.back()->say(bytes); }
+    // Sends unsolicited bytes on the newest connection.
+    void send(std::string const& bytes) { m_connections.back()->send(bytes); }
 
 private:
     class connection final : public io_handler {
@@ -48,7 +49,7 @@
             m_socket.adopt(descriptor);
         }
 
-        void say(std::string const& bytes)
+        void send(std::string const& bytes)
         {
             m_socket.queue(bytes);
             (void)m_socket.flush();
@@ -65,7 +66,7 @@
                 return;
             auto const reply = m_server.m_replies.front();
             m_server.m_replies.pop_front();
-            say(reply.bytes);
+            send(reply.bytes);
             if (reply.then == after_reply::close)
                 m_socket.close();
             else if (reply.then == after_reply::reset)
--- a/tests/relay/slow_readers_test.cpp
+++ b/tests/relay/slow_readers_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Peers that do not read: what is held for them is counted, and bounded in all.
+// Tests that the bytes buffered for peers that do not read are counted, and which callers are disconnected at the
+// limit.
 #include "libraries/relay/slow_readers.h"
 
 #include "libraries/relay/held_bytes.h"
@@ -13,11 +14,11 @@
 
 class slow_readers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(slow_readers_test);
-    CPPUNIT_TEST(what_a_peer_does_not_read_is_counted);
-    CPPUNIT_TEST(what_is_gone_is_held_no_more);
-    CPPUNIT_TEST(without_a_limit_nothing_is_too_much);
-    CPPUNIT_TEST(the_slowest_end_first_and_no_more_than_needed);
-    CPPUNIT_TEST(who_has_little_unread_is_never_ended);
+    CPPUNIT_TEST(unread_bytes_of_a_peer_are_counted);
+    CPPUNIT_TEST(destroyed_owners_release_their_bytes);
+    CPPUNIT_TEST(without_a_limit_nothing_exceeds_it);
+    CPPUNIT_TEST(the_slowest_are_disconnected_first_and_no_more_than_needed);
+    CPPUNIT_TEST(callers_with_few_unread_bytes_are_never_disconnected);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t megabyte = 1U << 20U;
@@ -26,9 +27,9 @@
         void on_ready(readiness) override { }
     };
 
-    void what_a_peer_does_not_read_is_counted()
+    void unread_bytes_of_a_peer_are_counted()
     {
-        constexpr std::size_t much = 16 * megabyte;
+        constexpr std::size_t total_size = 16 * megabyte;
         event_loop loop;
         silent_handler handler;
         std::array<int, 2> ends {};
@@ -36,9 +37,9 @@
         {
             socket sending(loop, handler);
             sending.adopt(ends[0]);
-            sending.queue(std::string(much, 'x'));
+            sending.queue(std::string(total_size, 'x'));
             CPPUNIT_ASSERT(sending.flush());
-            CPPUNIT_ASSERT(loop.held().held() > much / 2);
+            CPPUNIT_ASSERT(loop.held().held() > total_size / 2);
             CPPUNIT_ASSERT_EQUAL(sending.unwritten_size(), loop.held().held());
             sending.close();
             CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, loop.held().held());
@@ -46,7 +47,7 @@
         ::close(ends[1]);
     }
 
-    void what_is_gone_is_held_no_more()
+    void destroyed_owners_release_their_bytes()
     {
         held_meter meter;
         meter.set_limit(megabyte);
@@ -54,35 +55,37 @@
             held_bytes first(meter);
             held_bytes second(meter);
             first.set(megabyte);
-            CPPUNIT_ASSERT(!meter.is_over());
+            CPPUNIT_ASSERT(!meter.is_over_limit());
             second.set(1);
-            CPPUNIT_ASSERT(meter.is_over());
+            CPPUNIT_ASSERT(meter.is_over_limit());
             first.set(megabyte / 2);
             CPPUNIT_ASSERT_EQUAL(megabyte / 2 + 1, meter.held());
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, meter.held());
     }
 
-    void without_a_limit_nothing_is_too_much()
+    void without_a_limit_nothing_exceeds_it()
     {
         held_meter meter;
         held_bytes held(meter);
         held.set(100 * megabyte);
-        CPPUNIT_ASSERT(!meter.is_over());
+        CPPUNIT_ASSERT(!meter.is_over_limit());
     }
 
-    void the_slowest_end_first_and_no_more_than_needed()
+    void the_slowest_are_disconnected_first_and_no_more_than_needed()
     {
-        std::vector<waiting_reader> const readers { { 1, megabyte }, { 2, 3 * megabyte }, { 3, 2 * megabyte } };
-        CPPUNIT_ASSERT(readers_to_end(readers, 6 * megabyte, 6 * megabyte).empty());
-        CPPUNIT_ASSERT((readers_to_end(readers, 6 * megabyte, 4 * megabyte) == std::vector<std::uint64_t> { 2 }));
-        CPPUNIT_ASSERT((readers_to_end(readers, 6 * megabyte, 2 * megabyte) == std::vector<std::uint64_t> { 2, 3 }));
+        std::vector<slow_reader> const readers { { 1, megabyte }, { 2, 3 * megabyte }, { 3, 2 * megabyte } };
+        CPPUNIT_ASSERT(readers_to_disconnect(readers, 6 * megabyte, 6 * megabyte).empty());
+        CPPUNIT_ASSERT(
+            (readers_to_disconnect(readers, 6 * megabyte, 4 * megabyte) == std::vector<std::uint64_t> { 2 }));
+        CPPUNIT_ASSERT(
+            (readers_to_disconnect(readers, 6 * megabyte, 2 * megabyte) == std::vector<std::uint64_t> { 2, 3 }));
     }
 
-    void who_has_little_unread_is_never_ended()
+    void callers_with_few_unread_bytes_are_never_disconnected()
     {
-        std::vector<waiting_reader> const readers { { 1, 1000 }, { 2, megabyte } };
-        CPPUNIT_ASSERT((readers_to_end(readers, 9 * megabyte, megabyte) == std::vector<std::uint64_t> { 2 }));
+        std::vector<slow_reader> const readers { { 1, 1000 }, { 2, megabyte } };
+        CPPUNIT_ASSERT((readers_to_disconnect(readers, 9 * megabyte, megabyte) == std::vector<std::uint64_t> { 2 }));
     }
 };
 
--- a/tests/relay/stop_sequence_test.cpp
+++ b/tests/relay/stop_sequence_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A planned stop: nothing in flight is cut, and it ends in time.
+// Tests that a planned stop interrupts no work in progress and ends in time.
 #include "libraries/relay/stop_sequence.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,11 +8,11 @@
 
 class stop_sequence_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(stop_sequence_test);
-    CPPUNIT_TEST(nothing_happens_before_it_is_asked_for);
-    CPPUNIT_TEST(callers_are_let_go_once_the_balancer_has_noticed);
-    CPPUNIT_TEST(what_is_open_is_waited_for);
-    CPPUNIT_TEST(it_ends_in_time_whatever_is_open);
-    CPPUNIT_TEST(a_second_signal_does_not_begin_it_anew);
+    CPPUNIT_TEST(nothing_happens_before_a_stop_is_requested);
+    CPPUNIT_TEST(callers_are_released_once_the_balancer_has_noticed);
+    CPPUNIT_TEST(open_work_is_waited_for);
+    CPPUNIT_TEST(the_stop_ends_in_time_whatever_is_open);
+    CPPUNIT_TEST(a_second_signal_does_not_restart_the_stop);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr milliseconds stop_time { 8000 };
@@ -20,23 +20,23 @@
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static stop_sequence begun()
+    static stop_sequence make_started()
     {
         stop_sequence stop;
         stop.begin(at(1000));
         return stop;
     }
 
-    static void nothing_happens_before_it_is_asked_for()
+    static void nothing_happens_before_a_stop_is_requested()
     {
         stop_sequence stop;
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(100000)) == stop_step::wait);
         CPPUNIT_ASSERT(!stop.has_begun());
     }
 
-    static void callers_are_let_go_once_the_balancer_has_noticed()
+    static void callers_are_released_once_the_balancer_has_noticed()
     {
-        auto stop = begun();
+        auto stop = make_started();
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(3600)) == stop_step::wait);
         CPPUNIT_ASSERT(!stop.is_closing());
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(3700)) == stop_step::close_callers);
@@ -44,26 +44,26 @@
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(3708)) == stop_step::end_process);
     }
 
-    static void what_is_open_is_waited_for()
+    static void open_work_is_waited_for()
     {
-        auto stop = begun();
+        auto stop = make_started();
         CPPUNIT_ASSERT(stop.advance({ 1, false }, stop_time, at(3700)) == stop_step::close_callers);
         CPPUNIT_ASSERT(stop.advance({ 1, false }, stop_time, at(5000)) == stop_step::wait);
         CPPUNIT_ASSERT(stop.advance({ 0, true }, stop_time, at(6000)) == stop_step::wait);
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(6100)) == stop_step::end_process);
     }
 
-    static void it_ends_in_time_whatever_is_open()
+    static void the_stop_ends_in_time_whatever_is_open()
     {
-        auto stop = begun();
+        auto stop = make_started();
         (void)stop.advance({ 3, true }, stop_time, at(3700));
         CPPUNIT_ASSERT(stop.advance({ 3, true }, stop_time, at(8299)) == stop_step::wait);
         CPPUNIT_ASSERT(stop.advance({ 3, true }, stop_time, at(8300)) == stop_step::end_process);
     }
 
-    static void a_second_signal_does_not_begin_it_anew()
+    static void a_second_signal_does_not_restart_the_stop()
     {
-        auto stop = begun();
+        auto stop = make_started();
         stop.begin(at(8000));
         CPPUNIT_ASSERT(stop.advance({ 3, true }, stop_time, at(8300)) == stop_step::end_process);
     }
