--- a/services/shedhilld/fleet_view.h
+++ b/services/shedhilld/fleet_view.h
@@ -56,7 +56,7 @@
         , m_host(host)
         , m_reports(loop, settings, *this)
         , m_watch_assignment(settings.vm)
-        , m_watchers(dispatch::make_follow_terms({ settings.leaving_bound }))
+        , m_watchers(dispatch::make_watch_terms({ settings.leaving_bound }))
         , m_configuration(loop, settings.store_address, relay::table_name::configuration, m_watchers,
               [this] {
                   apply_configuration_rows({ "store", milliseconds(0) });
@@ -67,7 +67,7 @@
               loop, settings, m_reports.directory(), m_watchers,
               [this] { m_host.count("shedhill_store_write_failures_total"); },
               [this](std::vector<dispatch::crash_record> records) {
-                  m_host.handle_event(dispatch::quarantines_read { std::move(records) });
+                  m_host.handle_event(dispatch::quarantines_loaded { std::move(records) });
               })
     {
         static_assert(fleet_view_host<Host>);
@@ -94,12 +94,12 @@
         m_configuration.tick(now, draw);
         m_endpoints.tick(now, draw);
         m_routers.tick(now, draw);
-        for (auto const& event : m_watchers.take_notes())
+        for (auto const& event : m_watchers.take_events())
             log_store_event(event);
         if (m_roster.drop_lapsed(now))
             m_host.handle_event(dispatch::endpoints_listed { m_roster.entries() });
         if (!m_settings.peer_address.empty() && m_reports.tick(now, draw)) {
-            m_routers.set_quarantined(m_host.reducer().kept_quarantines(now));
+            m_routers.set_quarantined(m_host.reducer().own_quarantines(now));
             m_routers.maintain_rows(m_is_watching_store, now);
             update_router_list();
         }
@@ -146,10 +146,10 @@
 
     [[nodiscard]] std::vector<peering::document_version> own_document_versions(instant now)
     {
-        auto const returned_at = endpoint_list_contact(now).returned_at;
+        auto const recovered_at = endpoint_list_contact(now).recovered_at;
         std::optional<milliseconds> returned_ago;
-        if (returned_at != instant {})
-            returned_ago = now - returned_at;
+        if (recovered_at != instant {})
+            returned_ago = now - recovered_at;
         return { { document_kind::configuration, m_configuration.watcher().changed_version(),
                      now - m_configuration.watcher().confirmed_at() },
             { document_kind::endpoints, m_endpoints.watcher().changed_version(),
@@ -183,7 +183,7 @@
         if (document.kind == document_kind::endpoints
             && m_loop.now() - watcher.confirmed_at() < staleness_limit(document.kind))
             return;
-        if (watcher.take_told(std::move(document.rows)) == dispatch::table_follower::page_outcome::changed)
+        if (watcher.apply_reported(std::move(document.rows)) == dispatch::table_watcher::page_outcome::changed)
             apply_received_rows(document.kind);
     }
 
@@ -208,9 +208,9 @@
     // time that the store may hold a call.
     static constexpr milliseconds report_delay { 300 };
     // Returns the terms on which this router watches the store, or the terms that apply if it is not a watcher.
-    [[nodiscard]] dispatch::follow_terms own_watch_terms(bool is_watcher, instant now) const
+    [[nodiscard]] dispatch::watch_terms own_watch_terms(bool is_watcher, instant now) const
     {
-        return dispatch::make_follow_terms({ m_settings.leaving_bound, is_watcher, m_watch_assignment.is_shared(now),
+        return dispatch::make_watch_terms({ m_settings.leaving_bound, is_watcher, m_watch_assignment.is_shared(now),
             m_watch_assignment.is_outage_prober(now) });
     }
 
@@ -219,7 +219,7 @@
     [[nodiscard]] milliseconds max_confirmation_age(instant now) const
     {
         auto const list = own_watch_terms(true, now).of(dispatch::table_name::endpoints);
-        return list.pace + list.wait;
+        return list.min_interval + list.wait;
     }
 
     void update_watch_terms(instant now)
@@ -242,12 +242,12 @@
             return milliseconds(0);
         return kind == document_kind::configuration
             ? configuration_staleness_limit
-            : dispatch::list_pace(m_settings.leaving_bound) + list_staleness_margin;
+            : dispatch::list_poll_interval(m_settings.leaving_bound) + list_staleness_margin;
     }
 
     // The functions below apply what comes from the store, directly or through another router.
 
-    void log_store_event(dispatch::store_note const& event)
+    void log_store_event(dispatch::store_event const& event)
     {
         if (auto const counter = call_counter_of(event))
             m_host.count(*counter);
@@ -283,7 +283,7 @@
         m_host.handle_event(std::move(evacuated));
     }
 
-    void apply_configuration(dispatch::table_follower::row const& row, document_source const& source)
+    void apply_configuration(dispatch::table_watcher::row const& row, document_source const& source)
     {
         if (std::exchange(m_configuration_row_version, row.version) == row.version)
             return;
@@ -293,13 +293,13 @@
             return m_host.log_state(
                 "configuration_refused", dispatch::log_fields().add("reason", parsed.error().to_string()).take());
         }
-        m_host.handle_event(dispatch::configuration_learned { std::move(*parsed), source.name, source.age });
+        m_host.handle_event(dispatch::configuration_received { std::move(*parsed), source.name, source.age });
     }
 
-    [[nodiscard]] dispatch::store_contact endpoint_list_contact(instant now)
+    [[nodiscard]] dispatch::store_availability endpoint_list_contact(instant now)
     {
         auto const& watcher = m_endpoints.watcher();
-        return m_outages.contact({ watcher.confirmed_at(), watcher.returned_at(), m_is_watching_store }, now);
+        return m_outages.availability({ watcher.confirmed_at(), watcher.recovered_at(), m_is_watching_store }, now);
     }
 
     void apply_endpoint_rows()
@@ -307,9 +307,9 @@
         auto table_rows = m_endpoint_rows.read(m_endpoints.watcher().rows());
         log_refused_rows(m_endpoint_rows.take_refused());
         auto const now = m_loop.now();
-        auto const kept_before = m_roster.kept_count();
-        bool const is_changed = m_roster.take(std::move(table_rows), endpoint_list_contact(now), now);
-        if (m_roster.kept_count() > kept_before)
+        auto const kept_before = m_roster.retained_count();
+        bool const is_changed = m_roster.apply_list(std::move(table_rows), endpoint_list_contact(now), now);
+        if (m_roster.retained_count() > kept_before)
             log_kept_endpoints();
         if (is_changed)
             m_host.handle_event(dispatch::endpoints_listed { m_roster.entries() });
@@ -329,7 +329,7 @@
     {
         m_host.count("shedhill_lapsed_lists_total");
         m_host.log_state(
-            "lapsed_endpoints_kept", dispatch::log_fields().add("endpoints", m_roster.kept_count()).take());
+            "lapsed_endpoints_kept", dispatch::log_fields().add("endpoints", m_roster.retained_count()).take());
     }
 
     // The functions below handle reports and requests of other routers.
@@ -349,7 +349,8 @@
         peering::document_version const& reported, peering::state_message const& state, instant now)
     {
         auto const confirmed_at = now - reported.age;
-        m_outages.note_peer_confirmed(confirmed_at, reported.returned_ago ? now - *reported.returned_ago : instant {});
+        m_outages.record_peer_confirmation(
+            confirmed_at, reported.returned_ago ? now - *reported.returned_ago : instant {});
         bool const is_domain_peer
             = state.report.subject == dispatch::report_subject::router && state.report.domain == m_settings.domain;
         if (!is_domain_peer)
@@ -358,7 +359,7 @@
         m_domain_confirmed_at = std::max(m_domain_confirmed_at, confirmed_at);
     }
 
-    [[nodiscard]] dispatch::table_follower& watcher_of(document_kind kind)
+    [[nodiscard]] dispatch::table_watcher& watcher_of(document_kind kind)
     {
         return kind == document_kind::configuration ? m_configuration.watcher() : m_endpoints.watcher();
     }
@@ -399,7 +400,7 @@
             return;
         m_reports.send(state.address,
             peering::encode_frame(peering::document_request {
-                reported.kind, own, m_reports.self().address, watcher_of(reported.kind).told_since() }));
+                reported.kind, own, m_reports.self().address, watcher_of(reported.kind).changes_wanted_since() }));
     }
 
     relay::event_loop& m_loop;
@@ -407,7 +408,7 @@
     Host& m_host;
     fleet_reports<fleet_view> m_reports;
     peering::watch_assignment m_watch_assignment;
-    dispatch::store_followers m_watchers;
+    dispatch::store_watchers m_watchers;
     relay::table_session<TableBinding> m_configuration;
     relay::table_session<TableBinding> m_endpoints;
     routers_table<TableBinding> m_routers;
--- a/services/shedhilld/platform_router.h
+++ b/services/shedhilld/platform_router.h
@@ -196,7 +196,7 @@
         bool const closes = reason == dispatch::refusal_reason::stopping || connection.closes_after_answer();
         CallerBinding::append_refusal(
             connection.out(), { status_unavailable, dispatch::name_of(reason), retry_after, closes }, request);
-        m_metrics.add(counter_name({ dispatch::counted::refusals, dispatch::name_of(reason) }));
+        m_metrics.add(counter_name({ dispatch::counter_kind::refusals, dispatch::name_of(reason) }));
         connection.finish_answer();
     }
 
@@ -233,7 +233,7 @@
     void on_connection_free(
         dispatch::send_attempt const& attempt, std::shared_ptr<relay::call_connection> connection) override
     {
-        m_connections.add_idle(attempt.start, std::move(connection));
+        m_connections.add_idle(attempt.instance, std::move(connection));
     }
 
     [[nodiscard]] bool suspects_requests() const override { return m_reducer.suspects_requests(); }
@@ -262,7 +262,7 @@
         auto* const open_exchange = m_exchanges.find(attempt.request);
         if (open_exchange == nullptr)
             return;
-        auto connection = m_connections.take(attempt.start, attempt.connection, m_loop.now());
+        auto connection = m_connections.take(attempt.instance, attempt.connection, m_loop.now());
         m_metrics.add(
             connection->is_idle() ? "shedhill_connections_reused_total" : "shedhill_connections_opened_total");
         open_exchange->start(std::move(attempt), std::move(connection));
@@ -280,13 +280,13 @@
             open_exchange->refuse(refusal);
     }
 
-    void carry_out(dispatch::pass_answer const& withheld_answer)
+    void carry_out(dispatch::forward_answer const& withheld_answer)
     {
         if (auto* const open_exchange = m_exchanges.find(withheld_answer.request))
             open_exchange->forward_withheld_answer();
     }
 
-    void carry_out(dispatch::break_answer const& broken_answer)
+    void carry_out(dispatch::abort_answer const& broken_answer)
     {
         if (auto* const open_exchange = m_exchanges.find(broken_answer.request))
             open_exchange->abort_answer();
@@ -295,20 +295,20 @@
     void carry_out(dispatch::set_ready const& readiness)
     {
         m_is_ready = readiness.is_ready;
-        m_sends_callers_away_since = readiness.sends_callers_away ? m_loop.now() : instant {};
+        m_sends_callers_away_since = readiness.closes_caller_connections ? m_loop.now() : instant {};
     }
 
     void carry_out(dispatch::stop_process const&) { }
 
-    void carry_out(dispatch::probe_endpoint const& probe) { m_probes.start(probe.start, probe.address); }
+    void carry_out(dispatch::probe_endpoint const& probe) { m_probes.start(probe.instance, probe.address); }
 
     void carry_out(dispatch::log_line const& line) { log(level_of(line.level), line.event, line.fields); }
 
     void carry_out(dispatch::count_event const& event) { m_metrics.add(counter_name(event)); }
 
-    void carry_out(dispatch::time_event const& measured)
+    void carry_out(dispatch::timer_event const& measured)
     {
-        m_metrics.observe_latency(histogram_name(measured), static_cast<double>(measured.took.count()));
+        m_metrics.observe_latency(histogram_name(measured), static_cast<double>(measured.duration.count()));
     }
 
     // Callers are sent away only after the load balancer has noticed that this router is not ready: until then they
--- a/services/shedhilld/published_documents.cpp
+++ b/services/shedhilld/published_documents.cpp
@@ -46,7 +46,7 @@
 }
 
 std::string const& published_documents::frame_for(
-    peering::document_request const& request, dispatch::table_follower const& table)
+    peering::document_request const& request, dispatch::table_watcher const& table)
 {
     auto& state = state_of(request.kind);
     auto const version = table.changed_version();
--- a/services/shedhilld/published_documents.h
+++ b/services/shedhilld/published_documents.h
@@ -3,7 +3,7 @@
 // one. Caches the frame in which it last sent each document, because many routers request the same one at once.
 #pragma once
 
-#include "libraries/dispatch/store/table_follower.h"
+#include "libraries/dispatch/store/table_watcher.h"
 #include "libraries/peering/peer_message.h"
 
 #include <array>
@@ -36,7 +36,7 @@
 
     // Returns the encoded frame with what the requesting router needs of the table.
     [[nodiscard]] std::string const& frame_for(
-        peering::document_request const& request, dispatch::table_follower const& table);
+        peering::document_request const& request, dispatch::table_watcher const& table);
 
 private:
     struct document_state {
--- a/services/shedhilld/router_gauges.cpp
+++ b/services/shedhilld/router_gauges.cpp
@@ -11,7 +11,7 @@
 void set_dispatch_gauges(metrics::registry& registry, dispatch::dispatch_reducer& reducer, instant now)
 {
     registry.set("shedhill_configuration_revision", static_cast<double>(reducer.routes().current().revision));
-    registry.set("shedhill_load_part", reducer.load_part());
+    registry.set("shedhill_load_part", reducer.load_fraction());
     registry.set("shedhill_choices", static_cast<double>(reducer.choices()));
     registry.set("shedhill_active_requests", static_cast<double>(reducer.active_requests()));
     registry.set("shedhill_waiting_requests", static_cast<double>(reducer.waiting_requests()));
--- a/services/shedhilld/routers_table.h
+++ b/services/shedhilld/routers_table.h
@@ -26,7 +26,7 @@
     using quarantined_function = std::function<void(std::vector<dispatch::crash_record> records)>;
 
     routers_table(relay::event_loop& loop, relay::deployment_settings const& settings,
-        peering::peer_directory& directory, dispatch::store_followers& watchers, failed_function on_failed,
+        peering::peer_directory& directory, dispatch::store_watchers& watchers, failed_function on_failed,
         quarantined_function on_quarantined)
         : m_loop(loop)
         , m_settings(settings)
--- a/services/shedhilld/store_log_lines.h
+++ b/services/shedhilld/store_log_lines.h
@@ -2,7 +2,7 @@
 // Builds the log lines and the counter names for calls to the store.
 #pragma once
 
-#include "libraries/dispatch/store/store_followers.h"
+#include "libraries/dispatch/store/store_watchers.h"
 #include "libraries/logging/event_log.h"
 
 #include <optional>
@@ -18,8 +18,8 @@
 };
 
 // Returns the log line for the event. An answered call has none, because it is counted only.
-[[nodiscard]] std::optional<store_log_line> log_line_of(dispatch::store_note const& event);
+[[nodiscard]] std::optional<store_log_line> log_line_of(dispatch::store_event const& event);
 // Returns the counter of a call that has ended; none for an event that ends no call.
-[[nodiscard]] std::optional<std::string> call_counter_of(dispatch::store_note const& event);
+[[nodiscard]] std::optional<std::string> call_counter_of(dispatch::store_event const& event);
 
 } // namespace shedhill::daemon
--- a/tests/diagnosis/request_story_test.cpp
+++ b/tests/diagnosis/request_story_test.cpp
@@ -67,7 +67,8 @@
         fleet.start({ driver::make_endpoint("e1", "plain") });
         auto const first = fleet.ask("/look/x");
         auto const sent = fleet.sent_for(first).back();
-        fleet.take(dispatch::endpoint_told { first, sent.endpoint, sent.start, { milliseconds(2000), false } });
+        fleet.take(
+            dispatch::endpoint_notice_received { first, sent.endpoint, sent.instance, { milliseconds(2000), false } });
         fleet.end(first, dispatch::attempt_end::not_run, 503);
         fleet.wait(milliseconds(500));
         fleet.ask("/look/x");
@@ -81,7 +82,7 @@
     {
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain") });
-        dispatch::peer_reported report;
+        dispatch::peer_report report;
         report.peer = vm_name("router-b");
         report.crashes = { { { key_of(team_name("red")), content_hash(77) }, { 0, 3 }, milliseconds(1000), {} } };
         fleet.take(report);
--- a/tests/dispatch/cold_endpoints_test.cpp
+++ b/tests/dispatch/cold_endpoints_test.cpp
@@ -24,19 +24,19 @@
     static constexpr int own_part = 2;
     static constexpr milliseconds cold_time { 3000 };
 
-    static endpoint_entry plain(std::string const& name, milliseconds cold_left = milliseconds(0))
+    static endpoint_entry plain(std::string const& name, milliseconds cold_time_left = milliseconds(0))
     {
         auto entry = driver::make_endpoint(name, "plain", 1000);
-        entry.cold_left = cold_left;
+        entry.cold_time_left = cold_time_left;
         return entry;
     }
 
-    static void start(driver& fleet, std::vector<endpoint_entry> endpoints, double cold_per_second = 12)
+    static void start(driver& fleet, std::vector<endpoint_entry> endpoints, double cold_requests_per_second = 12)
     {
         auto configuration = driver::usual_configuration();
-        configuration.pools[1].cold_per_second = cold_per_second;
+        configuration.pools[1].cold_requests_per_second = cold_requests_per_second;
         configuration.pools[1].cold_time = cold_time;
-        fleet.take(configuration_learned { configuration });
+        fleet.take(configuration_received { configuration });
         fleet.take(routers_listed { { "a:1", "b:1", "c:1" }, "a:1" });
         fleet.wait(cold_period::window);
         fleet.take(endpoints_listed { std::move(endpoints) });
--- a/tests/dispatch/crash_play.cpp
+++ b/tests/dispatch/crash_play.cpp
@@ -46,7 +46,7 @@
     begun.disturbed_at = m_now;
     begun.inbox.clear();
     begun.asked.clear();
-    take(index, configuration_learned { m_configuration });
+    take(index, configuration_received { m_configuration });
 }
 
 void crash_play::tell(std::size_t router, event_body body, milliseconds delay)
@@ -86,7 +86,7 @@
     if (auto const* sent = std::get_if<send_attempt>(&done)) {
         auto const content = by.asked.at(sent->request);
         auto& to = m_endpoints.at(std::stoul(sent->address));
-        if (!to.is_up || key_of(to.entry.name, to.entry.born) != sent->start)
+        if (!to.is_up || key_of(to.entry.name, to.entry.started_at_ms) != sent->instance)
             return tell(index, attempt_ended { sent->request, sent->attempt, attempt_end::not_sent }, step_time);
         bool const is_in_touch = m_now - by.disturbed_at > milliseconds(3000);
         m_stories[content].arrivals.push_back({ m_now, is_in_touch });
@@ -95,7 +95,7 @@
         ++m_stories[by.asked.at(refused->request)].refused;
     } else if (auto const* probe = std::get_if<probe_endpoint>(&done)) {
         bool const is_up = m_endpoints.at(std::stoul(probe->address)).is_up;
-        tell(index, endpoint_probed { probe->start, is_up ? probe_outcome::accepted : probe_outcome::refused },
+        tell(index, endpoint_probed { probe->instance, is_up ? probe_outcome::accepted : probe_outcome::refused },
             step_time);
     }
 }
@@ -144,7 +144,7 @@
     for (auto const& other : m_routers) {
         if (&other == &m_routers[index])
             continue;
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("another");
         report.crashes = other.reducer->crash_records(m_now);
         tell(index, report, m_options.news_delay);
--- a/tests/dispatch/crash_suspects_test.cpp
+++ b/tests/dispatch/crash_suspects_test.cpp
@@ -74,7 +74,7 @@
         {
             m_driver.wait(milliseconds(20));
             for (; m_probes_seen < m_driver.probes().size(); ++m_probes_seen)
-                m_driver.take(endpoint_probed { m_driver.probes()[m_probes_seen].start, outcome });
+                m_driver.take(endpoint_probed { m_driver.probes()[m_probes_seen].instance, outcome });
         }
 
         // The endpoint that runs the request ends. A while later it may be tried again.
@@ -244,9 +244,9 @@
         CPPUNIT_ASSERT_EQUAL(name_of(refusal_reason::crashes_endpoints), name_of(reason_of(fleet, waiting)));
     }
 
-    static peer_reported report_of(std::vector<crash_record> crashes)
+    static peer_report report_of(std::vector<crash_record> crashes)
     {
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("router-b");
         report.domain = failure_domain("north");
         report.crashes = std::move(crashes);
--- a/tests/dispatch/crowded_pool_play.cpp
+++ b/tests/dispatch/crowded_pool_play.cpp
@@ -29,7 +29,7 @@
     for (auto& route : configuration.routes) {
         route.objective = load.objective;
         route.time_limit = load.objective * objectives_to_the_deadline;
-        route.most_attempts = 1;
+        route.max_attempts = 1;
     }
     std::vector<double> asked_for;
     for (std::size_t rank = 1; rank <= load.shared_parts; ++rank)
@@ -50,7 +50,7 @@
         options.policy = load.policy;
         options.vm = vm_name("router-" + std::to_string(index));
         m_routers.push_back(std::make_unique<dispatch_reducer>(options));
-        step(index, configuration_learned { configuration });
+        step(index, configuration_received { configuration });
         step(index, endpoints_listed { entries });
     }
 }
--- a/tests/dispatch/dispatch_driver.h
+++ b/tests/dispatch/dispatch_driver.h
@@ -36,25 +36,25 @@
         made.teams = { { team_name("red"), { "red-key" }, {} }, { team_name("blue"), { "blue-key" }, {} } };
         made.pools = { { pool_name("model"), 100, 4, 1000000, 6 }, { pool_name("plain"), 100, 0, 0, 1 } };
         made.limits.tokens_per_second = 10000;
-        made.routes = { make_route("/resumable/", answer_form::stream, repetition::resumable, "model"),
-            make_route("/once/", answer_form::stream, repetition::never, "model"),
-            make_route("/order/", answer_form::whole, repetition::never, "plain"),
-            make_route("/look/", answer_form::whole, repetition::whole, "plain") };
+        made.routes = { make_route("/resumable/", answer_form::stream, retry_mode::resumable, "model"),
+            make_route("/once/", answer_form::stream, retry_mode::never, "model"),
+            make_route("/order/", answer_form::whole, retry_mode::never, "plain"),
+            make_route("/look/", answer_form::whole, retry_mode::whole, "plain") };
         return made;
     }
 
-    static route make_route(std::string prefix, answer_form form, repetition repeat, std::string pool)
+    static route make_route(std::string prefix, answer_form form, retry_mode repeat, std::string pool)
     {
         route made;
         made.name = prefix;
         made.host = "host";
         made.path_prefix = std::move(prefix);
         made.form = form;
-        made.repeat = repeat;
+        made.retry = repeat;
         made.time_limit = milliseconds(5000);
         made.objective = milliseconds(400);
         made.pause_objective = milliseconds(200);
-        made.most_attempts = 2;
+        made.max_attempts = 2;
         made.pools = { { pool_name(std::move(pool)), 1 } };
         return made;
     }
@@ -66,7 +66,7 @@
 
     void start(std::vector<endpoint_entry> endpoints)
     {
-        take(configuration_learned { usual_configuration() });
+        take(configuration_received { usual_configuration() });
         take(endpoints_listed { std::move(endpoints) });
         // Teams' sums are known for a whole window then, so that shares are whole.
         constexpr milliseconds window { 4000 };
@@ -90,7 +90,7 @@
         arrived.path = std::move(path);
         arrived.key = std::move(key);
         arrived.cost.prompt = prompt;
-        arrived.cost.made = 50;
+        arrived.cost.generated = 50;
         arrived.cost.parts = { { 7, prompt / 2 }, { 1000 + m_last_request, prompt - prompt / 2 } };
         arrived.time_left = milliseconds(4000);
         auto const number = arrived.request;
@@ -163,9 +163,9 @@
     [[nodiscard]] dispatch_reducer& reducer() { return m_reducer; }
     [[nodiscard]] std::vector<send_attempt> const& sent() const { return m_sent; }
     [[nodiscard]] std::vector<answer_refusal> const& refused() const { return m_refused; }
-    [[nodiscard]] std::vector<break_answer> const& broken() const { return m_broken; }
+    [[nodiscard]] std::vector<abort_answer> const& broken() const { return m_broken; }
     [[nodiscard]] std::vector<cancel_attempt> const& cancelled() const { return m_cancelled; }
-    [[nodiscard]] std::vector<pass_answer> const& passed() const { return m_passed; }
+    [[nodiscard]] std::vector<forward_answer> const& passed() const { return m_passed; }
     [[nodiscard]] std::vector<probe_endpoint> const& probes() const { return m_probes; }
     [[nodiscard]] bool has_stopped() const { return m_has_stopped; }
     [[nodiscard]] instant now() const { return m_now; }
@@ -177,11 +177,11 @@
             m_sent.push_back(*sent);
         else if (auto const* refused = std::get_if<answer_refusal>(&done))
             m_refused.push_back(*refused);
-        else if (auto const* broken = std::get_if<break_answer>(&done))
+        else if (auto const* broken = std::get_if<abort_answer>(&done))
             m_broken.push_back(*broken);
         else if (auto const* cancelled = std::get_if<cancel_attempt>(&done))
             m_cancelled.push_back(*cancelled);
-        else if (auto const* passed = std::get_if<pass_answer>(&done))
+        else if (auto const* passed = std::get_if<forward_answer>(&done))
             m_passed.push_back(*passed);
         else if (std::holds_alternative<stop_process>(done))
             m_has_stopped = true;
@@ -199,8 +199,8 @@
     std::uint64_t m_last_request { 0 };
     std::vector<send_attempt> m_sent;
     std::vector<answer_refusal> m_refused;
-    std::vector<break_answer> m_broken;
-    std::vector<pass_answer> m_passed;
+    std::vector<abort_answer> m_broken;
+    std::vector<forward_answer> m_passed;
     std::vector<cancel_attempt> m_cancelled;
     std::vector<probe_endpoint> m_probes;
     std::string m_log;
--- a/tests/dispatch/dispatch_fuzz_test.cpp
+++ b/tests/dispatch/dispatch_fuzz_test.cpp
@@ -72,11 +72,11 @@
             return drain_endpoint(step.choice);
         case 13:
             return run(
-                [&] { m_driver.take(configuration_learned { dispatch_driver::usual_configuration(++m_revision) }); });
+                [&] { m_driver.take(configuration_received { dispatch_driver::usual_configuration(++m_revision) }); });
         case 14:
             return run([&] {
                 m_driver.take(
-                    peer_reported { vm_name("b"), step.choice % 2 == 0 ? report_scope::whole : report_scope::changes,
+                    peer_report { vm_name("b"), step.choice % 2 == 0 ? report_scope::whole : report_scope::changes,
                         { { key_of(endpoint_name("m1")), 2, token_count { step.choice } * 10 } },
                         { { key_of(team_name("red")), 5000, token_count { step.choice } * 100 } },
                         milliseconds(step.choice), { { key_of(endpoint_name("m2")), 7 } } });
--- a/tests/dispatch/dispatch_guard_test.cpp
+++ b/tests/dispatch/dispatch_guard_test.cpp
@@ -143,14 +143,15 @@
         CPPUNIT_ASSERT_EQUAL(token_count { 3000 }, before.work.unread);
         for (int index = 0; index < 20; ++index)
             fleet.take(tick { milliseconds(100) });
-        CPPUNIT_ASSERT(fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0).read.is_empty());
+        CPPUNIT_ASSERT(
+            fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0).prefill.is_empty());
         for (int index = 0; index < 100; ++index) {
             fleet.wait(milliseconds(10));
             fleet.take(tick { milliseconds(500) });
         }
         fleet.begin(request);
         auto const told = fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0);
-        CPPUNIT_ASSERT(told.read.is_empty());
+        CPPUNIT_ASSERT(told.prefill.is_empty());
         CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told.work.unread);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(before.tokens_per_ms, fleet.reducer().engines().at(0).tokens_per_ms, 0.01);
     }
@@ -159,10 +160,10 @@
     {
         driver fleet;
         fleet.start(two_of("plain"));
-        fleet.take(configuration_learned { driver::usual_configuration(9) });
+        fleet.take(configuration_received { driver::usual_configuration(9) });
         auto older = driver::usual_configuration(5);
         older.routes.clear();
-        fleet.take(configuration_learned { older });
+        fleet.take(configuration_received { older });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 9 }, fleet.reducer().routes().current().revision);
         CPPUNIT_ASSERT(!fleet.refusal_of(fleet.ask("/look/")));
     }
--- a/tests/dispatch/dispatch_parts_test.cpp
+++ b/tests/dispatch/dispatch_parts_test.cpp
@@ -5,7 +5,7 @@
 #include "libraries/dispatch/admission/team_ledger.h"
 #include "libraries/dispatch/endpoints/endpoint_board.h"
 #include "libraries/dispatch/endpoints/prompt_places.h"
-#include "libraries/dispatch/store/table_follower.h"
+#include "libraries/dispatch/store/table_watcher.h"
 #include "tests/dispatch/dispatch_driver.h"
 #include "tests/support/property.h"
 
@@ -44,8 +44,8 @@
         route_table table;
         configuration declared;
         declared.revision = 1;
-        declared.routes = { dispatch_driver::make_route("/a/", answer_form::whole, repetition::whole, "one"),
-            dispatch_driver::make_route("/a/b/", answer_form::whole, repetition::whole, "two") };
+        declared.routes = { dispatch_driver::make_route("/a/", answer_form::whole, retry_mode::whole, "one"),
+            dispatch_driver::make_route("/a/b/", answer_form::whole, retry_mode::whole, "two") };
         CPPUNIT_ASSERT(table.adopt(declared) == adoption::adopted);
         CPPUNIT_ASSERT_EQUAL(std::string("/a/b/"), table.find_route("host", "/a/b/c")->path_prefix);
         CPPUNIT_ASSERT_EQUAL(std::string("/a/"), table.find_route("host", "/a/bc")->path_prefix);
@@ -106,7 +106,7 @@
         team_ledger ledger(milliseconds(4000));
         ledger.charge(key_of(team_name("red")), at(1000), 1000);
         CPPUNIT_ASSERT_EQUAL(token_count { 2000 }, ledger.level(key_of(team_name("red")), at(1000)));
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.teams = { { key_of(team_name("red")), 500, 100 } };
         ledger.take_report(report, source_place::own_domain, at(1000));
@@ -130,17 +130,17 @@
         ledger.note_asked(key_of(team_name("red")), at(9000), 1000000);
         ledger.update_shares(1000, at(9000));
         CPPUNIT_ASSERT_EQUAL(token_count { 4000 }, ledger.share());
-        CPPUNIT_ASSERT(ledger.known_span(at(9000)) == milliseconds(4000));
+        CPPUNIT_ASSERT(ledger.observed_span(at(9000)) == milliseconds(4000));
     }
 
     void a_router_that_starts_alone_takes_over_what_others_know()
     {
         team_ledger ledger(milliseconds(4000));
         ledger.update_shares(1000, at(1000));
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.teams = { { key_of(team_name("red")), 1000000, 0 } };
-        report.known_span = milliseconds(4000);
+        report.observed_span = milliseconds(4000);
         ledger.take_report(report, source_place::own_domain, at(1100));
         ledger.update_shares(1000, at(1100));
         CPPUNIT_ASSERT_EQUAL(token_count { 4000 }, ledger.share());
@@ -190,92 +190,92 @@
 
     void a_table_is_read_and_then_followed()
     {
-        table_follower follower({ milliseconds(0), milliseconds(1500) });
+        table_watcher follower({ milliseconds(0), milliseconds(1500) });
         auto call = follower.take_next(at(1000));
-        CPPUNIT_ASSERT(call.kind == table_follower::call_kind::read);
-        CPPUNIT_ASSERT(follower.take_next(at(1001)).kind == table_follower::call_kind::none);
-        follower.take_page({ { "a", "1", 3, false } }, 5, true, at(1002));
+        CPPUNIT_ASSERT(call.kind == table_watcher::call_kind::read);
+        CPPUNIT_ASSERT(follower.take_next(at(1001)).kind == table_watcher::call_kind::none);
+        follower.apply_page({ { "a", "1", 3, false } }, 5, true, at(1002));
         call = follower.take_next(at(1003));
-        CPPUNIT_ASSERT(call.kind == table_follower::call_kind::read);
+        CPPUNIT_ASSERT(call.kind == table_watcher::call_kind::read);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), call.after_key);
-        CPPUNIT_ASSERT(follower.take_page({ { "b", "2", 4, false } }, 6, false, at(1004))
-            == table_follower::page_outcome::changed);
+        CPPUNIT_ASSERT(follower.apply_page({ { "b", "2", 4, false } }, 6, false, at(1004))
+            == table_watcher::page_outcome::changed);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, follower.rows().size());
         call = follower.take_next(at(1005));
-        CPPUNIT_ASSERT(call.kind == table_follower::call_kind::follow);
+        CPPUNIT_ASSERT(call.kind == table_watcher::call_kind::watch);
         // The first page's version: what changed while the others were read is told by the feed.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, call.since);
-        follower.take_page({ { "a", "", 7, true }, { "b", "3", 8, false } }, 8, false, at(1006));
+        follower.apply_page({ { "a", "", 7, true }, { "b", "3", 8, false } }, 8, false, at(1006));
         CPPUNIT_ASSERT(!follower.rows().contains("a"));
         CPPUNIT_ASSERT_EQUAL(std::string("3"), follower.rows().at("b").value);
     }
 
     void a_lost_history_is_read_anew_and_never_goes_back()
     {
-        table_follower follower({ milliseconds(0), milliseconds(1500) });
+        table_watcher follower({ milliseconds(0), milliseconds(1500) });
         (void)follower.take_next(at(1000));
-        follower.take_page({ { "a", "new", 9, false } }, 9, false, at(1000));
+        follower.apply_page({ { "a", "new", 9, false } }, 9, false, at(1000));
         (void)follower.take_next(at(1001));
-        follower.take_failure(table_follower::failure::history_gone, at(1002));
-        CPPUNIT_ASSERT(follower.take_next(at(1002)).kind == table_follower::call_kind::read);
+        follower.apply_failure(table_watcher::failure::history_gone, at(1002));
+        CPPUNIT_ASSERT(follower.take_next(at(1002)).kind == table_watcher::call_kind::read);
         // A read that is seconds behind.
-        CPPUNIT_ASSERT(follower.take_page({ { "a", "old", 4, false } }, 5, false, at(1003))
-            == table_follower::page_outcome::out_of_date);
+        CPPUNIT_ASSERT(follower.apply_page({ { "a", "old", 4, false } }, 5, false, at(1003))
+            == table_watcher::page_outcome::out_of_date);
         CPPUNIT_ASSERT_EQUAL(std::string("new"), follower.rows().at("a").value);
-        CPPUNIT_ASSERT(follower.take_next(at(2000)).kind == table_follower::call_kind::read);
+        CPPUNIT_ASSERT(follower.take_next(at(2000)).kind == table_watcher::call_kind::read);
     }
 
     // Heartbeats of other tables move the store's version; who knows more of these rows is told by their changes.
     void the_newest_change_is_told_apart_from_the_stores_version()
     {
-        table_follower follower({ milliseconds(0), milliseconds(1500) });
+        table_watcher follower({ milliseconds(0), milliseconds(1500) });
         (void)follower.take_next(at(1000));
-        follower.take_page({ { "a", "1", 3, false }, { "b", "1", 5, false } }, 9, false, at(1000));
+        follower.apply_page({ { "a", "1", 3, false }, { "b", "1", 5, false } }, 9, false, at(1000));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, follower.changed_version());
         (void)follower.take_next(at(1001));
-        follower.take_page({}, 20, false, at(1002));
+        follower.apply_page({}, 20, false, at(1002));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 20 }, follower.version());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, follower.changed_version());
         (void)follower.take_next(at(1003));
-        follower.take_page({ { "b", "", 22, true } }, 25, false, at(1004));
+        follower.apply_page({ { "b", "", 22, true } }, 25, false, at(1004));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 22 }, follower.changed_version());
         // A whole read shows no row for what is gone.
-        (void)follower.take_told({ {}, { { "a", { "1", 3 } } }, {}, 0, 30, 28 });
+        (void)follower.apply_reported({ {}, { { "a", { "1", 3 } } }, {}, 0, 30, 28 });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 28 }, follower.changed_version());
         // Whatever another router claims, a change is not newer than the rows, and nothing goes back.
-        (void)follower.take_told({ {}, { { "a", { "1", 3 } } }, {}, 0, 31, 99 });
+        (void)follower.apply_reported({ {}, { { "a", { "1", 3 } } }, {}, 0, 31, 99 });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 31 }, follower.changed_version());
-        (void)follower.take_told({ {}, { { "a", { "1", 3 } } }, {}, 0, 40, 2 });
+        (void)follower.apply_reported({ {}, { { "a", { "1", 3 } } }, {}, 0, 40, 2 });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 31 }, follower.changed_version());
     }
 
     void the_pace_can_be_changed()
     {
-        table_follower follower({ milliseconds(100), milliseconds(1500) });
+        table_watcher follower({ milliseconds(100), milliseconds(1500) });
         (void)follower.take_next(at(1000));
-        follower.take_page({}, 5, false, at(1010));
+        follower.apply_page({}, 5, false, at(1010));
         follower.set_options({ milliseconds(1000), milliseconds(1500) });
-        CPPUNIT_ASSERT(follower.take_next(at(1100)).kind == table_follower::call_kind::follow);
-        follower.take_page({}, 6, false, at(1110));
-        CPPUNIT_ASSERT(follower.take_next(at(2099)).kind == table_follower::call_kind::none);
-        CPPUNIT_ASSERT(follower.take_next(at(2100)).kind == table_follower::call_kind::follow);
-        follower.take_page({}, 7, false, at(2110));
+        CPPUNIT_ASSERT(follower.take_next(at(1100)).kind == table_watcher::call_kind::watch);
+        follower.apply_page({}, 6, false, at(1110));
+        CPPUNIT_ASSERT(follower.take_next(at(2099)).kind == table_watcher::call_kind::none);
+        CPPUNIT_ASSERT(follower.take_next(at(2100)).kind == table_watcher::call_kind::watch);
+        follower.apply_page({}, 7, false, at(2110));
         // A shorter one does not wait for the end of the longer one.
         follower.set_options({ milliseconds(200), milliseconds(700) });
-        CPPUNIT_ASSERT(follower.take_next(at(2299)).kind == table_follower::call_kind::none);
+        CPPUNIT_ASSERT(follower.take_next(at(2299)).kind == table_watcher::call_kind::none);
         auto const next = follower.take_next(at(2300));
-        CPPUNIT_ASSERT(next.kind == table_follower::call_kind::follow);
+        CPPUNIT_ASSERT(next.kind == table_watcher::call_kind::watch);
         CPPUNIT_ASSERT(next.wait == milliseconds(700));
     }
 
     void rows_told_by_a_peer_are_followed_on()
     {
-        table_follower follower({ milliseconds(0), milliseconds(1500) });
-        CPPUNIT_ASSERT(
-            follower.take_told({ {}, { { "a", { "1", 3 } } }, {}, 0, 12, 3 }) == table_follower::page_outcome::changed);
-        CPPUNIT_ASSERT(follower.take_told({ {}, {}, {}, 0, 11, 11 }) == table_follower::page_outcome::out_of_date);
+        table_watcher follower({ milliseconds(0), milliseconds(1500) });
+        CPPUNIT_ASSERT(follower.apply_reported({ {}, { { "a", { "1", 3 } } }, {}, 0, 12, 3 })
+            == table_watcher::page_outcome::changed);
+        CPPUNIT_ASSERT(follower.apply_reported({ {}, {}, {}, 0, 11, 11 }) == table_watcher::page_outcome::out_of_date);
         auto const call = follower.take_next(at(1000));
-        CPPUNIT_ASSERT(call.kind == table_follower::call_kind::follow);
+        CPPUNIT_ASSERT(call.kind == table_watcher::call_kind::watch);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 12 }, call.since);
     }
 
@@ -354,7 +354,7 @@
         auto const chosen = board.choose(usual_choice(cost, excluded), at(1001));
         CPPUNIT_ASSERT_EQUAL(std::string("e2"), chosen.endpoint->entry.name.value());
         CPPUNIT_ASSERT_EQUAL(token_count { 5500 }, chosen.lost);
-        board.forget(peer_reported { .peer = vm_name("b") }.source());
+        board.forget(peer_report { .peer = vm_name("b") }.source());
         CPPUNIT_ASSERT_EQUAL(
             std::string("e1"), board.choose(usual_choice(cost, excluded), at(1001)).endpoint->entry.name.value());
     }
--- a/tests/dispatch/domain_reports_test.cpp
+++ b/tests/dispatch/domain_reports_test.cpp
@@ -28,9 +28,9 @@
     static team_key team(char const* name) { return key_of(team_name(name)); }
     static endpoint_key endpoint(char const* name) { return key_of(endpoint_name(name)); }
 
-    static peer_reported report_of(char const* peer, char const* domain, token_count admitted)
+    static peer_report report_of(char const* peer, char const* domain, token_count admitted)
     {
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name(peer);
         report.domain = failure_domain(domain);
         report.teams = { { team("red"), admitted, admitted } };
@@ -50,7 +50,7 @@
         return reducer;
     }
 
-    static token_count admitted_in(peer_reported const& report)
+    static token_count admitted_in(peer_report const& report)
     {
         return report.teams.empty() ? 0 : report.teams[0].admitted;
     }
@@ -60,7 +60,7 @@
         testing::check_property("changes of usage lead to what stands", [] {
             told_usage told;
             team_ledger there(milliseconds(4000));
-            peer_reported report;
+            peer_report report;
             report.peer = vm_name("b");
             constexpr std::uint64_t teams = 3;
             // What each team has at each step; a team that has nothing is left out.
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.loads.size());
         CPPUNIT_ASSERT_EQUAL(6U, told.loads[0].work.running);
         CPPUNIT_ASSERT_EQUAL(token_count { 200 }, told.loads[0].work.unread);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(200, told.loads[0].read.tokens, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(200, told.loads[0].prefill.tokens, 0.01);
         CPPUNIT_ASSERT(reducer.take_domain_report(report_scope::changes, at(1200)).loads.empty());
     }
 
@@ -156,11 +156,11 @@
             reducer.reduce({ at(now), 0, report_of("b", "north", 500) });
         auto const first = reducer.take_domain_report(report_scope::changes, at(9000));
         CPPUNIT_ASSERT(first.scope == report_scope::whole);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, first.loads.at(0).read.tokens, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, first.loads.at(0).prefill.tokens, 0.01);
         CPPUNIT_ASSERT_EQUAL(3U, first.loads.at(0).work.running);
         reducer.reduce({ at(9050), 0, report_of("b", "north", 500) });
         auto const next = reducer.take_domain_report(report_scope::changes, at(9100));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(100, next.loads.at(0).read.tokens, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(100, next.loads.at(0).prefill.tokens, 0.01);
     }
 
     void a_part_used_again_at_once_is_not_told_again()
@@ -198,7 +198,7 @@
             for (std::size_t index = 0; index < 2 * each; ++index)
                 routers.push_back({ "r" + std::to_string(index), index / each, team_ledger(unfading), {}, {} });
             auto const tell = [&](router& from, report_subject subject, report_scope scope, instant now) {
-                peer_reported report;
+                peer_report report;
                 report.peer = vm_name(from.name);
                 report.domain = failure_domain(domains.at(from.domain));
                 report.subject = subject;
--- a/tests/dispatch/endpoint_notice_property_test.cpp
+++ b/tests/dispatch/endpoint_notice_property_test.cpp
@@ -21,7 +21,7 @@
     static endpoint_entry first_start_of(std::string const& name)
     {
         auto entry = driver::make_endpoint(name, "plain", 1000);
-        entry.born = 1;
+        entry.started_at_ms = 1;
         return entry;
     }
 
@@ -57,7 +57,7 @@
             case 7:
                 return end(drawn, attempt_end::not_sent, {});
             case 8:
-                ++m_entries[drawn % m_entries.size()].born;
+                ++m_entries[drawn % m_entries.size()].started_at_ms;
                 return relist(m_entries);
             case 9: {
                 auto less = m_entries;
@@ -81,7 +81,7 @@
                 check_sent();
             }
             bool const has_any = std::ranges::any_of(m_entries, [&](auto const& entry) {
-                return entry.pool.value() == "plain" && !m_leaving.contains(key_of(entry.name, entry.born));
+                return entry.pool.value() == "plain" && !m_leaving.contains(key_of(entry.name, entry.started_at_ms));
             });
             auto const request = m_fleet.ask("/look/x");
             m_fleet.wait(milliseconds(100));
@@ -98,7 +98,7 @@
                 return;
             // Who is refused at once could have gone nowhere.
             for (auto const& entry : m_listed) {
-                auto const key = key_of(entry.name, entry.born);
+                auto const key = key_of(entry.name, entry.started_at_ms);
                 RC_ASSERT(entry.pool.value() != "plain" || m_leaving.contains(key) || m_fleet.now() < m_rest_until[key]
                     || !is_listed(entry));
             }
@@ -113,11 +113,11 @@
                 return;
             auto const& chosen = running[drawn % running.size()];
             m_under_way.erase(chosen.request);
-            m_fleet.take(endpoint_told { chosen.request, chosen.endpoint, chosen.start, notice });
-            auto& until = m_rest_until[chosen.start];
-            until = std::max(until, m_fleet.now() + notice.rest);
+            m_fleet.take(endpoint_notice_received { chosen.request, chosen.endpoint, chosen.instance, notice });
+            auto& until = m_rest_until[chosen.instance];
+            until = std::max(until, m_fleet.now() + notice.backoff);
             if (notice.is_leaving)
-                m_leaving.insert(chosen.start);
+                m_leaving.insert(chosen.instance);
             m_fleet.take(attempt_ended { chosen.request, chosen.attempt, how, 503, 0, false });
             check_sent();
         }
@@ -140,8 +140,8 @@
                 m_under_way.erase(m_fleet.cancelled()[m_cancelled_seen].request);
             for (; m_sent_seen < m_fleet.sent().size(); ++m_sent_seen) {
                 auto const& sent = m_fleet.sent()[m_sent_seen];
-                RC_ASSERT(!m_leaving.contains(sent.start));
-                RC_ASSERT(m_fleet.now() >= m_rest_until[sent.start]);
+                RC_ASSERT(!m_leaving.contains(sent.instance));
+                RC_ASSERT(m_fleet.now() >= m_rest_until[sent.instance]);
                 m_under_way[sent.request] = sent;
             }
         }
--- a/tests/dispatch/endpoint_notice_test.cpp
+++ b/tests/dispatch/endpoint_notice_test.cpp
@@ -23,17 +23,17 @@
 
 constexpr milliseconds usual_rest { 3000 };
 
-endpoint_entry plain(std::string const& name, std::uint64_t born = 0)
+endpoint_entry plain(std::string const& name, std::uint64_t started_at_ms = 0)
 {
     auto entry = driver::make_endpoint(name, "plain", 1000);
-    entry.born = born;
+    entry.started_at_ms = started_at_ms;
     return entry;
 }
 
 void tell(driver& fleet, request_number request, endpoint_notice notice)
 {
     auto const sent = fleet.sent_for(request).back();
-    fleet.take(endpoint_told { request, sent.endpoint, sent.start, notice });
+    fleet.take(endpoint_notice_received { request, sent.endpoint, sent.instance, notice });
 }
 
 void ask_for_rest(driver& fleet, request_number request, milliseconds rest = usual_rest)
--- a/tests/dispatch/endpoint_roster_test.cpp
+++ b/tests/dispatch/endpoint_roster_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // Which endpoints are gone and which have only lapsed while the store was away.
 #include "libraries/dispatch/store/endpoint_roster.h"
-#include "libraries/dispatch/store/table_follower.h"
+#include "libraries/dispatch/store/table_watcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -25,33 +25,33 @@
         return { endpoint_name(name), "10.0.0.1:1", pool_name("pool"), failure_domain("north"), 4, is_draining };
     }
 
-    static constexpr store_contact heard {};
-    static store_contact returned(std::int64_t time) { return { false, at(time) }; }
-    static constexpr store_contact away { true, {} };
+    static constexpr store_availability heard {};
+    static store_availability returned(std::int64_t time) { return { false, at(time) }; }
+    static constexpr store_availability away { true, {} };
 
     static endpoint_roster of_two()
     {
         endpoint_roster roster;
-        CPPUNIT_ASSERT(roster.take({ entry("a"), entry("b") }, heard, at(1000)));
+        CPPUNIT_ASSERT(roster.apply_list({ entry("a"), entry("b") }, heard, at(1000)));
         return roster;
     }
 
     void what_goes_while_the_store_is_heard_is_gone()
     {
         auto roster = of_two();
-        CPPUNIT_ASSERT(roster.take({ entry("a") }, heard, at(5000)));
+        CPPUNIT_ASSERT(roster.apply_list({ entry("a") }, heard, at(5000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
-        CPPUNIT_ASSERT(!roster.take({ entry("a") }, heard, at(5100)));
+        CPPUNIT_ASSERT(!roster.apply_list({ entry("a") }, heard, at(5100)));
     }
 
     void what_lapses_in_an_outage_is_kept_until_it_is_back()
     {
         auto roster = of_two();
-        CPPUNIT_ASSERT(!roster.take({ entry("a") }, returned(5000), at(5000)));
+        CPPUNIT_ASSERT(!roster.apply_list({ entry("a") }, returned(5000), at(5000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, roster.entries().size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.kept_count());
-        (void)roster.take({ entry("a"), entry("b") }, returned(5000), at(6000));
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, roster.kept_count());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.retained_count());
+        (void)roster.apply_list({ entry("a"), entry("b") }, returned(5000), at(6000));
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, roster.retained_count());
         CPPUNIT_ASSERT(!roster.drop_lapsed(at(9000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, roster.entries().size());
     }
@@ -59,7 +59,7 @@
     void what_stays_missing_after_the_return_is_gone()
     {
         auto roster = of_two();
-        (void)roster.take({}, returned(5000), at(5000));
+        (void)roster.apply_list({}, returned(5000), at(5000));
         CPPUNIT_ASSERT(!roster.drop_lapsed(at(6800)));
         CPPUNIT_ASSERT(roster.drop_lapsed(at(7000)));
         CPPUNIT_ASSERT(roster.entries().empty());
@@ -68,43 +68,43 @@
     void a_draining_endpoint_is_never_kept()
     {
         auto roster = of_two();
-        (void)roster.take({ entry("a"), entry("b", true) }, heard, at(2000));
-        CPPUNIT_ASSERT(roster.take({ entry("a") }, returned(5000), at(5000)));
+        (void)roster.apply_list({ entry("a"), entry("b", true) }, heard, at(2000));
+        CPPUNIT_ASSERT(roster.apply_list({ entry("a") }, returned(5000), at(5000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
     }
 
     void what_goes_some_time_after_the_return_is_gone()
     {
         auto roster = of_two();
-        CPPUNIT_ASSERT(roster.take({ entry("a") }, returned(5000), at(8000)));
+        CPPUNIT_ASSERT(roster.apply_list({ entry("a") }, returned(5000), at(8000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
     }
 
     void what_another_router_tells_keeps_nothing_for_ever()
     {
         auto roster = of_two();
-        (void)roster.take({ entry("a") }, away, at(5000));
+        (void)roster.apply_list({ entry("a") }, away, at(5000));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, roster.entries().size());
-        (void)roster.take({ entry("a") }, away, at(6500));
+        (void)roster.apply_list({ entry("a") }, away, at(6500));
         CPPUNIT_ASSERT(roster.drop_lapsed(at(7000)));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
     }
 
     void only_an_outage_counts_as_a_return()
     {
-        table_follower follower({});
+        table_watcher follower({});
         (void)follower.take_next(at(1000));
-        (void)follower.take_page({}, 1, false, at(1000));
+        (void)follower.apply_page({}, 1, false, at(1000));
         (void)follower.take_next(at(1100));
-        follower.take_failure(table_follower::failure::no_answer, at(1200));
+        follower.apply_failure(table_watcher::failure::no_answer, at(1200));
         (void)follower.take_next(at(1400));
-        (void)follower.take_page({}, 1, false, at(1500));
-        CPPUNIT_ASSERT(follower.returned_at() == instant {});
+        (void)follower.apply_page({}, 1, false, at(1500));
+        CPPUNIT_ASSERT(follower.recovered_at() == instant {});
         (void)follower.take_next(at(1600));
-        follower.take_failure(table_follower::failure::no_answer, at(1700));
+        follower.apply_failure(table_watcher::failure::no_answer, at(1700));
         (void)follower.take_next(at(2900));
-        (void)follower.take_page({}, 1, false, at(3000));
-        CPPUNIT_ASSERT(follower.returned_at() == at(3000));
+        (void)follower.apply_page({}, 1, false, at(3000));
+        CPPUNIT_ASSERT(follower.recovered_at() == at(3000));
     }
 };
 
--- a/tests/dispatch/endpoint_starts_test.cpp
+++ b/tests/dispatch/endpoint_starts_test.cpp
@@ -21,10 +21,10 @@
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static endpoint_entry started(std::string const& pool, std::uint64_t born)
+    static endpoint_entry started(std::string const& pool, std::uint64_t started_at_ms)
     {
         auto entry = dispatch_driver::make_endpoint("e1", pool, 4);
-        entry.born = born;
+        entry.started_at_ms = started_at_ms;
         return entry;
     }
 
@@ -67,7 +67,7 @@
     {
         endpoint_board board(failure_domain("north"));
         board.take_list({ started("model", first_start + 5000) }, at(6000));
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.loads = { { key_of(endpoint_name("e1"), first_start), { 3, 9000, 9000 }, { 0, 5000 } } };
         report.parts = { { key_of(endpoint_name("e1"), first_start), 77 } };
--- a/tests/dispatch/engine_room_test.cpp
+++ b/tests/dispatch/engine_room_test.cpp
@@ -65,7 +65,7 @@
         hold(driver, "e1", memory * 6 / 10);
         auto const first = driver.ask("/once/", "red-key", large);
         CPPUNIT_ASSERT(driver.sent_for(first).empty());
-        driver.take(peer_lost { peer_reported { .peer = vm_name("b") }.source() });
+        driver.take(peer_lost { peer_report { .peer = vm_name("b") }.source() });
         driver.wait(milliseconds(10));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, driver.sent_for(first).size());
     }
@@ -100,7 +100,7 @@
         driver.start({ dispatch_driver::make_endpoint("e1", "model", 100) });
         driver.wait(milliseconds(6000));
         CPPUNIT_ASSERT(driver.log().find("engine_pace_changed") == std::string::npos);
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.loads = { { key_of(endpoint_name("e1")), { 1, 0, 0 }, { 0, 5000 } } };
         driver.take(report);
@@ -114,7 +114,7 @@
     // Another router holds so much of the engine's memory, and has read all that it sent.
     static void hold(dispatch_driver& driver, char const* name, token_count held)
     {
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.scope = report_scope::changes;
         report.loads = { { key_of(endpoint_name(name)), { 1, 0, held } } };
--- a/tests/dispatch/load_reports_test.cpp
+++ b/tests/dispatch/load_reports_test.cpp
@@ -65,7 +65,7 @@
         auto const told = board.take_own_loads(report_scope::changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.size());
         CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told[0].work.unread);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(500, told[0].read.tokens, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(500, told[0].prefill.tokens, 0.01);
         CPPUNIT_ASSERT(board.take_own_loads(report_scope::changes).empty());
     }
 
@@ -81,7 +81,7 @@
 
     static void tell(endpoint_board& from, endpoint_board& to, report_scope scope, instant now)
     {
-        peer_reported report;
+        peer_report report;
         report.peer = vm_name("b");
         report.scope = scope;
         report.loads = from.take_own_loads(scope);
@@ -104,7 +104,7 @@
                 for (auto const* name : names)
                     RC_ASSERT(endpoint(there, name).others.running == endpoint(here, name).own.running);
             }
-            there.forget(peer_reported { .peer = vm_name("b") }.source());
+            there.forget(peer_report { .peer = vm_name("b") }.source());
             for (auto const* name : names)
                 RC_ASSERT(endpoint(there, name).others.running == 0U);
         });
--- a/tests/dispatch/overload_guard_test.cpp
+++ b/tests/dispatch/overload_guard_test.cpp
@@ -53,7 +53,7 @@
     static std::int64_t rest_from(overload_guard& guard, std::int64_t time)
     {
         auto now = time;
-        for (; guard.is_aside() && now < time + 100000; now += 20) {
+        for (; guard.is_overloaded() && now < time + 100000; now += 20) {
             guard.note_tick({ in_time, 0.2, 0 });
             (void)guard.update_aside({ routers, 0, 0.3 }, at(now));
         }
@@ -126,9 +126,9 @@
         overload_guard guard;
         auto const stepped = overload_from(guard, 1000);
         CPPUNIT_ASSERT(stepped > 1250);
-        CPPUNIT_ASSERT(guard.is_aside());
+        CPPUNIT_ASSERT(guard.is_overloaded());
         CPPUNIT_ASSERT(rest_from(guard, stepped) >= stepped + 6000);
-        CPPUNIT_ASSERT(!guard.is_aside());
+        CPPUNIT_ASSERT(!guard.is_overloaded());
     }
 
     void few_are_aside_at_once()
--- a/tests/dispatch/regions_test.cpp
+++ b/tests/dispatch/regions_test.cpp
@@ -37,7 +37,7 @@
             }
             for (auto& route : configuration.routes)
                 route.allowed_regions = for_routes;
-            take(configuration_learned { configuration });
+            take(configuration_received { configuration });
             take(endpoints_listed { std::move(entries) });
         }
 
@@ -223,7 +223,8 @@
         bound_driver fleet({ in_domain("n", "north"), in_domain("s", "south") }, coast());
         auto const request = fleet.ask("/look/x");
         auto const resting = fleet.sent.back();
-        fleet.take(endpoint_told { request, resting.endpoint, resting.start, { milliseconds(5000), false } });
+        fleet.take(
+            endpoint_notice_received { request, resting.endpoint, resting.instance, { milliseconds(5000), false } });
         fleet.ask("/look/x");
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.sent.size());
         CPPUNIT_ASSERT(fleet.refused.back().reason == refusal_reason::endpoints_resting);
--- a/tests/dispatch/store_followers_test.cpp
+++ b/tests/dispatch/store_followers_test.cpp
@@ -29,7 +29,7 @@
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static follow_terms usual_terms() { return make_follow_terms({ smallest_bound }); }
+    static watch_terms usual_terms() { return make_watch_terms({ smallest_bound }); }
 
     // The routers' own table is asked at its own pace, also when all is well: no request depends on it.
     static milliseconds bound_of(table_name table)
@@ -64,13 +64,13 @@
     }
 
     // A router of a failure domain of any size, that hears nothing of the others.
-    static follow_terms draw_terms()
+    static watch_terms draw_terms()
     {
         constexpr std::size_t followers = 2;
         auto const routers = *rc::gen::inRange<std::size_t>(1, 30);
         auto const rank = *rc::gen::inRange<std::size_t>(0, routers);
         auto const leaving_bound = *rc::gen::element(smallest_bound, milliseconds(3000), milliseconds(4000));
-        return make_follow_terms({ leaving_bound, true, routers > followers, rank < followers });
+        return make_watch_terms({ leaving_bound, true, routers > followers, rank < followers });
     }
 
     // Any trouble, of any length, at any moment, and a second one; any row changes at any moment.
@@ -107,7 +107,7 @@
         });
     }
 
-    static void check_time_to_know(follow_terms const& terms, std::vector<store_outage> const& outages,
+    static void check_time_to_know(watch_terms const& terms, std::vector<store_outage> const& outages,
         store_change const& change, std::uint64_t seed)
     {
         store_play play(terms, outages, { change }, seed);
@@ -122,11 +122,11 @@
             { { store_trouble::losing, at(9629), at(11041) }, { store_trouble::silent, at(13481), at(13501) } },
             { table_name::configuration, at(10241) }, 17172);
         // 2.06 s: a table that failed alone waited as long as routers do who leave the probing to others.
-        check_time_to_know(make_follow_terms({ milliseconds(3000), true, true, false }),
+        check_time_to_know(make_watch_terms({ milliseconds(3000), true, true, false }),
             { { store_trouble::losing, at(2055), at(6021) }, { store_trouble::silent, at(8081), at(8101) } },
             { table_name::configuration, at(4801) }, 7107852200);
         // 2.18 s: after one slow answer held calls were waited for 0.8 s beyond their time.
-        check_time_to_know(make_follow_terms({ milliseconds(4000), true, false, true }),
+        check_time_to_know(make_watch_terms({ milliseconds(4000), true, false, true }),
             { { store_trouble::slow, at(2245), at(2381) }, { store_trouble::silent, at(2535), at(2641) } },
             { table_name::endpoints, at(2381) }, 0);
     }
@@ -149,10 +149,10 @@
         constexpr milliseconds tick { 20 };
         constexpr milliseconds answer { 5 };
         auto const terms = usual_terms();
-        auto const unnoticed = terms.of(table_name::endpoints).wait + store_followers::held_answer_limit;
+        auto const unnoticed = terms.of(table_name::endpoints).wait + store_watchers::min_long_poll_margin;
         auto const asked_after = 2 * (answer + 2 * tick);
         CPPUNIT_ASSERT(unnoticed + asked_after < smallest_bound);
-        auto const slow_unnoticed = terms.of(table_name::endpoints).wait + store_followers::longest_held_answer_limit;
+        auto const slow_unnoticed = terms.of(table_name::endpoints).wait + store_watchers::max_long_poll_margin;
         CPPUNIT_ASSERT(slow_unnoticed + asked_after < smallest_bound);
         for (std::int64_t length = 40; length < 6000; length += 160) {
             for (std::int64_t phase = 0; phase < 1400; phase += 140) {
@@ -164,7 +164,7 @@
                 bool const is_noticed = milliseconds(length) > unnoticed + terms.of(table_name::endpoints).wait;
                 for (std::size_t change = 0; change < 2; ++change) {
                     // What changes just after an answer waits for the pace of its table.
-                    auto const pace = change == 0 ? milliseconds(0) : terms.of(table_name::endpoints).pace;
+                    auto const pace = change == 0 ? milliseconds(0) : terms.of(table_name::endpoints).min_interval;
                     auto const bound = (is_noticed ? terms.probe_interval + pace : unnoticed) + asked_after;
                     auto const took = play.time_to_know(change).value_or(milliseconds::max());
                     CPPUNIT_ASSERT_MESSAGE(std::to_string(took.count()) + " ms, length " + std::to_string(length)
@@ -186,7 +186,7 @@
             CPPUNIT_ASSERT(play.followers().is_lost());
             CPPUNIT_ASSERT(play.calls() > 4 && play.calls() < 16);
         }
-        auto patient = make_follow_terms({ smallest_bound, true, true, false });
+        auto patient = make_watch_terms({ smallest_bound, true, true, false });
         store_play play(patient, { { store_trouble::silent, at(10000), at(20000) } }, {}, 1);
         play.play_until(at(13000));
         (void)play.take_calls();
@@ -204,14 +204,14 @@
         for (auto const table : { table_name::configuration, table_name::endpoints, table_name::routers })
             CPPUNIT_ASSERT(play.followers().of(table).confirmed_at() >= at(20000));
         // It was the list's way back too: entries that lapsed meanwhile are kept.
-        CPPUNIT_ASSERT(play.followers().of(table_name::endpoints).returned_at() >= at(20000));
+        CPPUNIT_ASSERT(play.followers().of(table_name::endpoints).recovered_at() >= at(20000));
     }
 
     void a_table_that_fails_alone_leaves_the_others_be()
     {
-        store_followers followers(usual_terms());
+        store_watchers followers(usual_terms());
         auto const answer
-            = [&](table_name table, std::int64_t time) { (void)followers.take_page(table, {}, 5, false, at(time)); };
+            = [&](table_name table, std::int64_t time) { (void)followers.apply_page(table, {}, 5, false, at(time)); };
         for (auto const table : { table_name::configuration, table_name::endpoints, table_name::routers }) {
             CPPUNIT_ASSERT(followers.take_next(table, at(1000)).has_value());
             answer(table, 1005);
@@ -220,17 +220,17 @@
         std::size_t failed = 0;
         for (std::int64_t time = 1020; time < 11020; time += 20) {
             for (auto const table : { table_name::configuration, table_name::routers }) {
-                if (followers.is_to_give_up(table, at(time))) {
+                if (followers.should_abandon(table, at(time))) {
                     ++given_up;
-                    followers.take_failure(table, table_follower::failure::no_answer, at(time), 0);
+                    followers.apply_failure(table, table_watcher::failure::no_answer, at(time), 0);
                 }
                 auto const call = followers.take_next(table, at(time));
-                if (call && call->asks.wait == milliseconds(0))
+                if (call && call->request.wait == milliseconds(0))
                     answer(table, time);
             }
             if (followers.take_next(table_name::endpoints, at(time))) {
                 ++failed;
-                followers.take_failure(table_name::endpoints, table_follower::failure::refused, at(time), 0);
+                followers.apply_failure(table_name::endpoints, table_watcher::failure::refused, at(time), 0);
             }
         }
         CPPUNIT_ASSERT(failed > 20 && failed < 55);
@@ -242,31 +242,31 @@
     // given up begins anew.
     void a_table_that_is_being_read_is_read_on()
     {
-        store_followers followers(usual_terms());
+        store_watchers followers(usual_terms());
         CPPUNIT_ASSERT(followers.take_next(table_name::configuration, at(1000)).has_value());
         CPPUNIT_ASSERT(followers.take_next(table_name::endpoints, at(1000)).has_value());
-        followers.take_failure(table_name::configuration, table_follower::failure::refused, at(1010), 0);
+        followers.apply_failure(table_name::configuration, table_watcher::failure::refused, at(1010), 0);
         CPPUNIT_ASSERT(followers.is_lost());
-        CPPUNIT_ASSERT(!followers.is_to_give_up(table_name::endpoints, at(1010)));
+        CPPUNIT_ASSERT(!followers.should_abandon(table_name::endpoints, at(1010)));
         CPPUNIT_ASSERT(followers.take_next(table_name::configuration, at(1200)).has_value());
-        (void)followers.take_page(table_name::configuration, { { "row", "1", 3 } }, 5, false, at(1210));
+        (void)followers.apply_page(table_name::configuration, { { "row", "1", 3 } }, 5, false, at(1210));
         CPPUNIT_ASSERT(!followers.is_lost());
-        CPPUNIT_ASSERT(!followers.is_to_give_up(table_name::endpoints, at(1210)));
+        CPPUNIT_ASSERT(!followers.should_abandon(table_name::endpoints, at(1210)));
     }
 
     void reads_of_whole_tables_that_fail_are_repeated_less_and_less()
     {
-        store_followers followers(usual_terms());
+        store_watchers followers(usual_terms());
         (void)followers.take_next(table_name::configuration, at(1000));
-        (void)followers.take_page(table_name::configuration, { { "row", "1", 3 } }, 5, false, at(1000));
+        (void)followers.apply_page(table_name::configuration, { { "row", "1", 3 } }, 5, false, at(1000));
         std::vector<std::int64_t> made;
         for (std::int64_t time = 1020; time < 12000; time += 20) {
             if (!followers.take_next(table_name::endpoints, at(time)))
                 continue;
             made.push_back(time);
-            followers.take_failure(table_name::endpoints, table_follower::failure::no_answer, at(time), 199);
+            followers.apply_failure(table_name::endpoints, table_watcher::failure::no_answer, at(time), 199);
             // The others go on to be answered.
-            (void)followers.take_page(table_name::configuration, {}, 5, false, at(time));
+            (void)followers.apply_page(table_name::configuration, {}, 5, false, at(time));
         }
         CPPUNIT_ASSERT(made.size() >= 5 && made.size() <= 12);
         CPPUNIT_ASSERT(made.back() - made[made.size() - 2] >= 800);
@@ -275,30 +275,30 @@
     // The answer that told the configuration was lost on its way; the list is answered all the time.
     void a_version_that_no_row_explains_is_looked_for()
     {
-        store_followers followers(usual_terms());
+        store_watchers followers(usual_terms());
         for (auto const table : { table_name::configuration, table_name::endpoints, table_name::routers }) {
             (void)followers.take_next(table, at(1000));
-            (void)followers.take_page(table, { { "row", "1", 3 } }, 5, false, at(1005));
+            (void)followers.apply_page(table, { { "row", "1", 3 } }, 5, false, at(1005));
         }
-        CPPUNIT_ASSERT(followers.take_next(table_name::configuration, at(1020))->asks.wait > milliseconds(0));
+        CPPUNIT_ASSERT(followers.take_next(table_name::configuration, at(1020))->request.wait > milliseconds(0));
         CPPUNIT_ASSERT(followers.take_next(table_name::endpoints, at(2000)).has_value());
-        (void)followers.take_page(table_name::endpoints, {}, 6, false, at(3000));
+        (void)followers.apply_page(table_name::endpoints, {}, 6, false, at(3000));
         CPPUNIT_ASSERT(!followers.take_next(table_name::configuration, at(3000)).has_value());
-        CPPUNIT_ASSERT(!followers.is_to_give_up(table_name::configuration, at(3000)));
-        CPPUNIT_ASSERT(followers.is_to_give_up(table_name::configuration, at(3110)));
-        followers.take_failure(table_name::configuration, table_follower::failure::no_answer, at(3120), 0);
+        CPPUNIT_ASSERT(!followers.should_abandon(table_name::configuration, at(3000)));
+        CPPUNIT_ASSERT(followers.should_abandon(table_name::configuration, at(3110)));
+        followers.apply_failure(table_name::configuration, table_watcher::failure::no_answer, at(3120), 0);
         CPPUNIT_ASSERT(!followers.of(table_name::configuration).is_failing());
         auto const asked = followers.take_next(table_name::configuration, at(3140));
-        CPPUNIT_ASSERT(asked && asked->asks.wait == milliseconds(0));
-        (void)followers.take_page(table_name::configuration, { { "row", "2", 6 } }, 6, false, at(3145));
+        CPPUNIT_ASSERT(asked && asked->request.wait == milliseconds(0));
+        (void)followers.apply_page(table_name::configuration, { { "row", "2", 6 } }, 6, false, at(3145));
         // It explains the version: no other table is asked.
-        CPPUNIT_ASSERT(followers.take_next(table_name::routers, at(3160))->asks.wait > milliseconds(0));
-        CPPUNIT_ASSERT(!followers.is_to_give_up(table_name::routers, at(5000)));
+        CPPUNIT_ASSERT(followers.take_next(table_name::routers, at(3160))->request.wait > milliseconds(0));
+        CPPUNIT_ASSERT(!followers.should_abandon(table_name::routers, at(5000)));
     }
 
     void versions_of_tables_that_nobody_follows_are_doubted_less_and_less()
     {
-        store_followers followers(usual_terms());
+        store_watchers followers(usual_terms());
         std::uint64_t version = 10;
         std::size_t calls = 0;
         for (std::int64_t time = 1000; time < 61000; time += 20) {
@@ -306,14 +306,14 @@
             if (time % 200 == 0)
                 ++version;
             for (auto const table : { table_name::configuration, table_name::endpoints, table_name::routers }) {
-                if (followers.is_to_give_up(table, at(time)))
-                    followers.take_failure(table, table_follower::failure::no_answer, at(time), 0);
+                if (followers.should_abandon(table, at(time)))
+                    followers.apply_failure(table, table_watcher::failure::no_answer, at(time), 0);
                 auto const call = followers.take_next(table, at(time));
                 if (!call)
                     continue;
                 ++calls;
-                if (call->asks.wait == milliseconds(0) || table == table_name::endpoints)
-                    (void)followers.take_page(table, {}, version, false, at(time));
+                if (call->request.wait == milliseconds(0) || table == table_name::endpoints)
+                    (void)followers.apply_page(table, {}, version, false, at(time));
             }
         }
         // The list, asked each 0.67 s here, makes 90 of them.
--- a/tests/dispatch/store_outage_watch_test.cpp
+++ b/tests/dispatch/store_outage_watch_test.cpp
@@ -28,26 +28,26 @@
     static void hear_peers(store_outage_watch& watch, std::int64_t from, std::int64_t until)
     {
         for (auto time = from; time <= until; time += 700)
-            watch.note_peer_confirmed(at(time));
+            watch.record_peer_confirmation(at(time));
     }
 
     void a_lone_router_goes_by_its_own_contact()
     {
         store_outage_watch const watch;
-        CPPUNIT_ASSERT(!watch.contact({ at(1000), {} }, at(3400)).is_away);
-        CPPUNIT_ASSERT(watch.contact({ at(1000), {} }, at(3500)).is_away);
-        CPPUNIT_ASSERT(watch.contact({ at(9000), at(9000) }, at(9100)).returned_at == at(9000));
+        CPPUNIT_ASSERT(!watch.availability({ at(1000), {} }, at(3400)).is_unavailable);
+        CPPUNIT_ASSERT(watch.availability({ at(1000), {} }, at(3500)).is_unavailable);
+        CPPUNIT_ASSERT(watch.availability({ at(9000), at(9000) }, at(9100)).recovered_at == at(9000));
     }
 
     void a_store_that_others_hear_is_not_away()
     {
         store_outage_watch watch;
         hear_peers(watch, 1000, 12000);
-        CPPUNIT_ASSERT(!watch.contact({ at(1000), {} }, at(12000)).is_away);
+        CPPUNIT_ASSERT(!watch.availability({ at(1000), {} }, at(12000)).is_unavailable);
         // This router hears it again: that was not the store's return.
-        CPPUNIT_ASSERT(watch.contact({ at(12000), at(12000) }, at(12100)).returned_at == instant {});
+        CPPUNIT_ASSERT(watch.availability({ at(12000), at(12000) }, at(12100)).recovered_at == instant {});
         // They fall silent too.
-        CPPUNIT_ASSERT(watch.contact({ at(1000), {} }, at(15000)).is_away);
+        CPPUNIT_ASSERT(watch.availability({ at(1000), {} }, at(15000)).is_unavailable);
     }
 
     void the_return_is_the_first_routers()
@@ -55,7 +55,7 @@
         store_outage_watch watch;
         hear_peers(watch, 1000, 3000);
         hear_peers(watch, 9000, 11000);
-        CPPUNIT_ASSERT(watch.contact({ at(9800), at(9800) }, at(11000)).returned_at == at(9000));
+        CPPUNIT_ASSERT(watch.availability({ at(9800), at(9800) }, at(11000)).recovered_at == at(9000));
     }
 
     // The store was away for all, for so long that all entries lapsed. One router hears it first, keeps what has
@@ -66,12 +66,12 @@
         store_outage_watch watch;
         endpoint_roster roster;
         hear_peers(watch, 1000, 3100);
-        (void)roster.take({ entry("a"), entry("b") }, watch.contact({ at(3000), {} }, at(3000)), at(3000));
-        watch.note_peer_confirmed(at(9000), at(9000));
-        (void)roster.take({ entry("a") }, watch.contact({ at(3000), {} }, at(9030)), at(9030));
+        (void)roster.apply_list({ entry("a"), entry("b") }, watch.availability({ at(3000), {} }, at(3000)), at(3000));
+        watch.record_peer_confirmation(at(9000), at(9000));
+        (void)roster.apply_list({ entry("a") }, watch.availability({ at(3000), {} }, at(9030)), at(9030));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, roster.entries().size());
         // Its own call is answered, and later on the entry is still missing.
-        (void)roster.take({ entry("a") }, watch.contact({ at(9060), at(9060) }, at(9060)), at(9060));
+        (void)roster.apply_list({ entry("a") }, watch.availability({ at(9060), at(9060) }, at(9060)), at(9060));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, roster.entries().size());
         CPPUNIT_ASSERT(!roster.drop_lapsed(at(10890)));
         CPPUNIT_ASSERT(roster.drop_lapsed(at(10900)));
@@ -84,12 +84,12 @@
         store_outage_watch watch;
         endpoint_roster roster;
         hear_peers(watch, 1000, 2400);
-        (void)roster.take({ entry("a"), entry("b") }, watch.contact({ at(2400), {} }, at(2400)), at(2400));
+        (void)roster.apply_list({ entry("a"), entry("b") }, watch.availability({ at(2400), {} }, at(2400)), at(2400));
         hear_peers(watch, 3100, 11500);
-        (void)roster.take({ entry("a") }, watch.contact({ at(2400), {} }, at(11700)), at(11700));
+        (void)roster.apply_list({ entry("a") }, watch.availability({ at(2400), {} }, at(11700)), at(11700));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
         hear_peers(watch, 11900, 13100);
-        (void)roster.take({ entry("a") }, watch.contact({ at(13100), at(13100) }, at(13100)), at(13100));
+        (void)roster.apply_list({ entry("a") }, watch.availability({ at(13100), at(13100) }, at(13100)), at(13100));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, roster.entries().size());
     }
 
@@ -97,21 +97,21 @@
     void who_does_not_follow_goes_by_what_followers_tell()
     {
         store_outage_watch watch;
-        own_store_contact const not_following { at(1000), {}, false };
-        watch.note_peer_confirmed(at(9000));
-        CPPUNIT_ASSERT(watch.contact(not_following, at(9100)).returned_at == instant {});
-        watch.note_peer_confirmed(at(10700), at(10700));
-        CPPUNIT_ASSERT(!watch.contact(not_following, at(10800)).is_away);
-        CPPUNIT_ASSERT(watch.contact(not_following, at(10800)).returned_at == at(10700));
+        own_store_availability const not_following { at(1000), {}, false };
+        watch.record_peer_confirmation(at(9000));
+        CPPUNIT_ASSERT(watch.availability(not_following, at(9100)).recovered_at == instant {});
+        watch.record_peer_confirmation(at(10700), at(10700));
+        CPPUNIT_ASSERT(!watch.availability(not_following, at(10800)).is_unavailable);
+        CPPUNIT_ASSERT(watch.availability(not_following, at(10800)).recovered_at == at(10700));
     }
 
     void late_reports_change_nothing()
     {
         store_outage_watch watch;
         hear_peers(watch, 1000, 12000);
-        watch.note_peer_confirmed(at(4000));
-        CPPUNIT_ASSERT(!watch.contact({ at(1000), {} }, at(12700)).is_away);
-        CPPUNIT_ASSERT(watch.contact({ at(12000), at(12000) }, at(12700)).returned_at == instant {});
+        watch.record_peer_confirmation(at(4000));
+        CPPUNIT_ASSERT(!watch.availability({ at(1000), {} }, at(12700)).is_unavailable);
+        CPPUNIT_ASSERT(watch.availability({ at(12000), at(12000) }, at(12700)).recovered_at == instant {});
     }
 };
 
--- a/tests/dispatch/store_play.cpp
+++ b/tests/dispatch/store_play.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 store_play::store_play(
-    follow_terms const& terms, std::vector<store_outage> outages, std::vector<store_change> changes, std::uint64_t seed)
+    watch_terms const& terms, std::vector<store_outage> outages, std::vector<store_change> changes, std::uint64_t seed)
     : m_followers(terms)
     , m_outages(std::move(outages))
     , m_changes(std::move(changes))
@@ -36,7 +36,7 @@
         for (auto const table : all_tables)
             tick(table);
         note_known();
-        std::ranges::move(m_followers.take_notes(), std::back_inserter(m_notes));
+        std::ranges::move(m_followers.take_events(), std::back_inserter(m_notes));
     }
 }
 
@@ -55,8 +55,8 @@
         serve(*pending);
         if (pending->answered_at && *pending->answered_at <= m_now)
             end_call(table);
-        else if (m_now >= pending->made_at + pending->call.limit || m_followers.is_to_give_up(table, m_now)) {
-            m_followers.take_failure(table, table_follower::failure::no_answer, m_now, m_random());
+        else if (m_now >= pending->made_at + pending->call.limit || m_followers.should_abandon(table, m_now)) {
+            m_followers.apply_failure(table, table_watcher::failure::no_answer, m_now, m_random());
             pending.reset();
         }
     }
@@ -82,17 +82,17 @@
         pending.is_unheard = true;
         return;
     case store_trouble::busy:
-        return fail(pending, table_follower::failure::refused);
+        return fail(pending, table_watcher::failure::refused);
     case store_trouble::resetting:
-        return fail(pending, table_follower::failure::no_answer);
+        return fail(pending, table_watcher::failure::no_answer);
     case store_trouble::none:
     case store_trouble::slow:
     case store_trouble::losing:
         break;
     }
-    bool const is_read = pending.call.asks.kind == table_follower::call_kind::read;
-    auto rows = rows_since(pending.call.table, is_read ? 0 : pending.call.asks.since);
-    if (is_read || !rows.empty() || m_now >= pending.made_at + pending.call.asks.wait) {
+    bool const is_read = pending.call.request.kind == table_watcher::call_kind::read;
+    auto rows = rows_since(pending.call.table, is_read ? 0 : pending.call.request.since);
+    if (is_read || !rows.empty() || m_now >= pending.made_at + pending.call.request.wait) {
         pending.rows = std::move(rows);
         answer(pending);
     }
@@ -108,7 +108,7 @@
         pending.answered_at = m_now + (trouble == store_trouble::slow ? slow_answer_time : answer_time);
 }
 
-void store_play::fail(pending_call& pending, table_follower::failure what)
+void store_play::fail(pending_call& pending, table_watcher::failure what)
 {
     pending.failure = what;
     pending.answered_at = m_now + answer_time;
@@ -118,9 +118,9 @@
 {
     auto const ended = *std::exchange(m_pending.at(static_cast<std::size_t>(table)), std::nullopt);
     if (ended.failure)
-        m_followers.take_failure(table, *ended.failure, m_now, m_random());
+        m_followers.apply_failure(table, *ended.failure, m_now, m_random());
     else
-        (void)m_followers.take_page(table, ended.rows, ended.version, false, m_now);
+        (void)m_followers.apply_page(table, ended.rows, ended.version, false, m_now);
 }
 
 void store_play::note_known()
@@ -155,9 +155,9 @@
     return store_trouble::none;
 }
 
-std::vector<table_follower::changed_row> store_play::rows_since(table_name table, std::uint64_t since) const
+std::vector<table_watcher::changed_row> store_play::rows_since(table_name table, std::uint64_t since) const
 {
-    std::vector<table_follower::changed_row> rows;
+    std::vector<table_watcher::changed_row> rows;
     for (auto const& [key, version] : m_rows.at(static_cast<std::size_t>(table))) {
         if (version > since)
             rows.push_back({ key, std::to_string(version), version });
--- a/tests/dispatch/store_play.h
+++ b/tests/dispatch/store_play.h
@@ -3,7 +3,7 @@
 // the store holds? The store keeps to what the platform promises, at its worst: what it does not answer stays silent.
 #pragma once
 
-#include "libraries/dispatch/store/store_followers.h"
+#include "libraries/dispatch/store/store_watchers.h"
 
 #include <array>
 #include <map>
@@ -42,7 +42,7 @@
 
 class store_play {
 public:
-    store_play(follow_terms const& terms, std::vector<store_outage> outages, std::vector<store_change> changes,
+    store_play(watch_terms const& terms, std::vector<store_outage> outages, std::vector<store_change> changes,
         std::uint64_t seed);
 
     // Until that time. The router's loop ticks each 20 ms.
@@ -53,8 +53,8 @@
     [[nodiscard]] std::size_t calls() const { return m_calls; }
     // Since the calls were last counted.
     [[nodiscard]] std::size_t take_calls() { return std::exchange(m_calls, 0); }
-    [[nodiscard]] std::vector<store_note> const& notes() const { return m_notes; }
-    [[nodiscard]] store_followers& followers() { return m_followers; }
+    [[nodiscard]] std::vector<store_event> const& notes() const { return m_notes; }
+    [[nodiscard]] store_watchers& followers() { return m_followers; }
 
 private:
     // A call on its way; the store has it at once, and its answer takes some milliseconds.
@@ -63,9 +63,9 @@
         instant made_at {};
         // When the answer reaches the router, and what it holds; none while it is held or never comes.
         std::optional<instant> answered_at;
-        std::vector<table_follower::changed_row> rows;
+        std::vector<table_watcher::changed_row> rows;
         std::uint64_t version { 0 };
-        std::optional<table_follower::failure> failure;
+        std::optional<table_watcher::failure> failure;
         bool is_unheard { false };
     };
 
@@ -73,13 +73,13 @@
     void tick(table_name table);
     void serve(pending_call& pending);
     void answer(pending_call& pending);
-    void fail(pending_call& pending, table_follower::failure what);
+    void fail(pending_call& pending, table_watcher::failure what);
     void end_call(table_name table);
     void note_known();
     [[nodiscard]] store_trouble trouble_at(instant time) const;
-    [[nodiscard]] std::vector<table_follower::changed_row> rows_since(table_name table, std::uint64_t since) const;
+    [[nodiscard]] std::vector<table_watcher::changed_row> rows_since(table_name table, std::uint64_t since) const;
 
-    store_followers m_followers;
+    store_watchers m_followers;
     std::vector<store_outage> m_outages;
     std::vector<store_change> m_changes;
     std::mt19937_64 m_random;
@@ -92,7 +92,7 @@
     std::vector<std::optional<instant>> m_known_at;
     std::size_t m_made { 0 };
     std::size_t m_calls { 0 };
-    std::vector<store_note> m_notes;
+    std::vector<store_event> m_notes;
 };
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/told_rows_test.cpp
+++ b/tests/dispatch/told_rows_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // What one router tells another of the list: only what has changed, and never so that a row that went stays.
-#include "libraries/dispatch/store/table_follower.h"
+#include "libraries/dispatch/store/table_watcher.h"
 #include "tests/support/property.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,23 +15,23 @@
     CPPUNIT_TEST(two_followers_come_to_the_same_rows);
     CPPUNIT_TEST_SUITE_END();
 
-    using changed_row = table_follower::changed_row;
-    using outcome = table_follower::page_outcome;
+    using changed_row = table_watcher::changed_row;
+    using outcome = table_watcher::page_outcome;
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static table_follower reading(std::vector<changed_row> const& rows, std::uint64_t version)
+    static table_watcher reading(std::vector<changed_row> const& rows, std::uint64_t version)
     {
-        table_follower follower({ milliseconds(0), milliseconds(1500) });
+        table_watcher follower({ milliseconds(0), milliseconds(1500) });
         (void)follower.take_next(at(1000));
-        (void)follower.take_page(rows, version, false, at(1000));
+        (void)follower.apply_page(rows, version, false, at(1000));
         return follower;
     }
 
-    static void follow(table_follower& follower, std::vector<changed_row> const& rows, std::uint64_t version)
+    static void follow(table_watcher& follower, std::vector<changed_row> const& rows, std::uint64_t version)
     {
         (void)follower.take_next(at(2000));
-        (void)follower.take_page(rows, version, false, at(2000));
+        (void)follower.apply_page(rows, version, false, at(2000));
     }
 
     void only_what_changed_is_told()
@@ -39,14 +39,14 @@
         auto here = reading({ { "a", "1", 3 }, { "b", "1", 4 }, { "c", "1", 5 } }, 10);
         auto there = reading({ { "a", "1", 3 }, { "b", "1", 4 }, { "c", "1", 5 } }, 8);
         follow(here, { { "a", "2", 12 }, { "b", "", 13, true } }, 14);
-        auto told = here.rows_since(there.told_since());
+        auto told = here.rows_since(there.changes_wanted_since());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.rows.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.gone.size());
-        CPPUNIT_ASSERT(there.take_told(std::move(told)) == outcome::changed);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.removed.size());
+        CPPUNIT_ASSERT(there.apply_reported(std::move(told)) == outcome::changed);
         CPPUNIT_ASSERT_EQUAL(std::string("2"), there.rows().at("a").value);
         CPPUNIT_ASSERT(!there.rows().contains("b"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 13 }, there.changed_version());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 14 }, there.told_since());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 14 }, there.changes_wanted_since());
     }
 
     // One router read the list after a row had gone: it cannot tell that it went.
@@ -55,10 +55,10 @@
         auto here = reading({ { "a", "1", 3 } }, 10);
         auto there = reading({ { "a", "1", 3 }, { "b", "1", 4 } }, 8);
         follow(here, { { "a", "2", 12 } }, 12);
-        CPPUNIT_ASSERT(there.take_told(here.rows_since(there.told_since())) == outcome::out_of_date);
+        CPPUNIT_ASSERT(there.apply_reported(here.rows_since(there.changes_wanted_since())) == outcome::out_of_date);
         CPPUNIT_ASSERT(there.rows().contains("b"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, there.told_since());
-        CPPUNIT_ASSERT(there.take_told(here.rows_since(there.told_since())) == outcome::changed);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, there.changes_wanted_since());
+        CPPUNIT_ASSERT(there.apply_reported(here.rows_since(there.changes_wanted_since())) == outcome::changed);
         CPPUNIT_ASSERT(!there.rows().contains("b"));
     }
 
@@ -67,14 +67,14 @@
         auto here = reading({ { "a", "1", 3 } }, 10);
         follow(here, { { "b", "1", 12 } }, 12);
         auto there = reading({ { "a", "1", 3 } }, 5);
-        CPPUNIT_ASSERT(there.take_told(here.rows_since(9)) == outcome::out_of_date);
+        CPPUNIT_ASSERT(there.apply_reported(here.rows_since(9)) == outcome::out_of_date);
     }
 
     // One follows the store, the other learns from it, at any moments; each began by reading at a moment of its own.
     void two_followers_come_to_the_same_rows()
     {
         testing::check_property("two followers come to the same rows", [] {
-            std::map<std::string, table_follower::row> store;
+            std::map<std::string, table_watcher::row> store;
             std::uint64_t version = 1;
             auto const whole = [&] {
                 std::vector<changed_row> rows;
@@ -84,7 +84,7 @@
                 return rows;
             };
             auto there = reading(whole(), version);
-            table_follower here({ milliseconds(0), milliseconds(1500) });
+            table_watcher here({ milliseconds(0), milliseconds(1500) });
             auto const steps = *rc::gen::container<std::vector<std::tuple<int, bool, bool>>>(
                 rc::gen::tuple(rc::gen::inRange(0, 6), rc::gen::arbitrary<bool>(), rc::gen::arbitrary<bool>()));
             auto const read_at = *rc::gen::inRange<std::size_t>(0, steps.size() + 1);
@@ -105,8 +105,8 @@
                     follow(here, { { key, std::to_string(version), version, is_gone } }, version);
                 if (!is_told)
                     continue;
-                if (there.take_told(here.rows_since(there.told_since())) == outcome::out_of_date)
-                    (void)there.take_told(here.rows_since(there.told_since()));
+                if (there.apply_reported(here.rows_since(there.changes_wanted_since())) == outcome::out_of_date)
+                    (void)there.apply_reported(here.rows_since(there.changes_wanted_since()));
                 RC_ASSERT(there.version() == version);
                 RC_ASSERT(there.rows().size() == store.size());
                 for (auto const& [kept, row] : store)
--- a/tests/peering/peer_message_test.cpp
+++ b/tests/peering/peer_message_test.cpp
@@ -32,7 +32,7 @@
         state.report.domain = failure_domain("north");
         state.report.subject = dispatch::report_subject::domain;
         state.report.routers = 20;
-        state.report.routers_aside = 2;
+        state.report.overloaded_routers = 2;
         state.report.crashes = { { { key_of(team_name("red")), content_hash(5) }, { 7, 2 }, milliseconds(90000),
             milliseconds(300), true } };
         auto const frame = encode_frame(state);
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 9 }, table.rows.version);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 5 }, table.rows.since.value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 77 }, table.rows.keys_hash);
-        CPPUNIT_ASSERT_EQUAL(std::string("old"), table.rows.gone.at(0).key);
+        CPPUNIT_ASSERT_EQUAL(std::string("old"), table.rows.removed.at(0).key);
         auto const request_frame = encode_frame(document_request { document_kind::endpoints, 3, "10.0.0.1:1", 8 });
         auto const decoded_request = decode_body(std::string_view(request_frame).substr(frame_header_size));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 8 }, std::get<document_request>(*decoded_request).since);
@@ -60,8 +60,8 @@
     static std::string load_text_of(dispatch::endpoint_load const& load)
     {
         return std::to_string(load.work.running) + " " + std::to_string(load.work.unread) + " "
-            + std::to_string(load.work.held) + " " + std::to_string(load.read.tokens) + " "
-            + std::to_string(load.read.time_ms) + " ";
+            + std::to_string(load.work.held) + " " + std::to_string(load.prefill.tokens) + " "
+            + std::to_string(load.prefill.time_ms) + " ";
     }
 
     static std::string text_of(state_message const& state)
@@ -72,7 +72,7 @@
             + state.address + std::to_string(state.documents.at(0).version) + to_text(state.members.at(0))
             + std::to_string(state.number) + (state.is_forwarded ? " passed on " : " ") + to_text(state.sender())
             + state.report.source().value() + std::to_string(state.report.routers)
-            + std::to_string(state.report.routers_aside) + crash_text_of(state.report.crashes.at(0));
+            + std::to_string(state.report.overloaded_routers) + crash_text_of(state.report.crashes.at(0));
     }
 
     static std::string crash_text_of(dispatch::crash_record const& record)
--- a/tests/platform/binding_test.cpp
+++ b/tests/platform/binding_test.cpp
@@ -64,7 +64,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("secret"), arrived.key);
         CPPUNIT_ASSERT(arrived.time_left == milliseconds(15000));
         CPPUNIT_ASSERT_EQUAL(dispatch::token_count { 1460 }, arrived.cost.prompt);
-        CPPUNIT_ASSERT_EQUAL(dispatch::token_count { 33 }, arrived.cost.made);
+        CPPUNIT_ASSERT_EQUAL(dispatch::token_count { 33 }, arrived.cost.generated);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, arrived.cost.parts.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0x91bd3f06 }, arrived.cost.parts[1].id);
         CPPUNIT_ASSERT_EQUAL(dispatch::token_count { 410 }, arrived.cost.parts[1].tokens);
@@ -243,7 +243,7 @@
     void endpoint_notices_are_parsed_strictly()
     {
         auto const backoff_of = [](std::string const& text) {
-            return notice_of(503, { { "Retry-After", text } }).rest;
+            return notice_of(503, { { "Retry-After", text } }).backoff;
         };
         CPPUNIT_ASSERT(backoff_of("3") == milliseconds(3000));
         CPPUNIT_ASSERT(backoff_of("0.25") == milliseconds(250));
@@ -256,7 +256,7 @@
         // Only an answer that refuses a request can ask for a back-off.
         for (auto const status : { 200U, 404U, 500U, 301U })
             CPPUNIT_ASSERT(notice_of(status, { { "Retry-After", "3" } }).is_empty());
-        CPPUNIT_ASSERT(notice_of(429, { { "Retry-After", "3" } }).rest == milliseconds(3000));
+        CPPUNIT_ASSERT(notice_of(429, { { "Retry-After", "3" } }).backoff == milliseconds(3000));
         // Any answer can say that its endpoint is leaving.
         for (auto const status : { 200U, 404U, 500U, 503U })
             CPPUNIT_ASSERT(notice_of(status, { { "Server-Leaving", "1" } }).is_leaving);
@@ -289,11 +289,11 @@
         auto const read = table_binding::parse_configuration(configuration_text());
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 7 }, read->revision);
-        CPPUNIT_ASSERT(read->routes[0].repeat == dispatch::repetition::resumable);
+        CPPUNIT_ASSERT(read->routes[0].retry == dispatch::retry_mode::resumable);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, read->routes[0].pools.size());
-        CPPUNIT_ASSERT(read->routes[1].repeat == dispatch::repetition::never);
+        CPPUNIT_ASSERT(read->routes[1].retry == dispatch::retry_mode::never);
         CPPUNIT_ASSERT(read->pools[0].is_engine());
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1000 }, read->limits.header_bytes);
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1000 }, read->limits.max_header_bytes);
         CPPUNIT_ASSERT(read->has_teams);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, read->teams[0].keys.size());
     }
@@ -383,7 +383,7 @@
     {
         auto const started_at_ms = [](std::string const& text) {
             auto const read = table_binding::parse_endpoint("i", endpoint_text({ { "born", text } }));
-            return read ? static_cast<std::int64_t>(read->born) : -1;
+            return read ? static_cast<std::int64_t>(read->started_at_ms) : -1;
         };
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 1781817594010 }, started_at_ms("1781817594010"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, started_at_ms(""));
@@ -462,17 +462,17 @@
 
     void the_cold_time_of_a_row_is_parsed_strictly()
     {
-        auto const cold_left = [](std::string const& text) {
+        auto const cold_time_left = [](std::string const& text) {
             auto const read = table_binding::parse_endpoint("i-1", endpoint_text({ { "cold_remaining_ms", text } }));
-            return read ? read->cold_left.count() : -1;
+            return read ? read->cold_time_left.count() : -1;
         };
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, cold_left("0"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2501 }, cold_left("2500.5"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 0 }, cold_time_left("0"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 2501 }, cold_time_left("2500.5"));
         // A number out of range counts as cold. Any other type means that another program wrote the row.
         for (auto const* text : { "-1", "1e300" })
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { 10000 }, cold_left(text));
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { 10000 }, cold_time_left(text));
         for (auto const* text : { "\"soon\"", "[]", "true", "null" })
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, cold_left(text));
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { -1 }, cold_time_left(text));
     }
 };
 
--- a/utilities/benchmarks/dispatch_bench.cpp
+++ b/utilities/benchmarks/dispatch_bench.cpp
@@ -34,7 +34,7 @@
     chat.host = "host";
     chat.path_prefix = "/chat/";
     chat.form = answer_form::stream;
-    chat.repeat = repetition::never;
+    chat.retry = retry_mode::never;
     chat.time_limit = milliseconds(15000);
     chat.objective = milliseconds(600);
     chat.pause_objective = milliseconds(300);
@@ -60,7 +60,7 @@
             .domain = failure_domain("north"),
             .retries = { 0.2, milliseconds(10000), 50, 1 } })
     {
-        take(configuration_learned { make_configuration(engines) });
+        take(configuration_received { make_configuration(engines) });
         take(endpoints_listed { make_endpoints(engines) });
     }
 
@@ -75,7 +75,7 @@
         arrived.path = "/chat/x";
         arrived.key = key_of_team(team);
         arrived.cost.prompt = prompt;
-        arrived.cost.made = 300;
+        arrived.cost.generated = 300;
         arrived.cost.parts = { { 1, prompt / 8 }, { 2 + m_random() % subjects, prompt / 3 },
             { 1000000 + m_last_request, prompt - prompt / 8 - prompt / 3 } };
         arrived.time_left = milliseconds(15000);
