--- a/libraries/dispatch/admission/answer_time_limit.cpp
+++ b/libraries/dispatch/admission/answer_time_limit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Rise and fall.
+// Implements the increase and the decrease of the limit.
 #include "libraries/dispatch/admission/answer_time_limit.h"
 
 #include <algorithm>
@@ -8,49 +8,51 @@
 
 namespace {
 
-// Some hundreds of routers may share a few slots.
-constexpr double least_limit = 0.05;
-// About a tenth of a request for as many answers as the limit lets run at once; below one, a tenth of what it is.
-constexpr double rise = 0.1;
-constexpr double least_rise = 0.02;
-constexpr double fall_to = 0.85;
-// Answers to what was sent before a fall say nothing of the limit after it.
-constexpr milliseconds fall_interval { 100 };
-constexpr double weight_of_the_newest = 0.3;
-// A limit counts as used while it is no more than twice what is under way.
-constexpr double most_over_use = 2;
-// However slow the answers were, one is asked for after so long: nothing else would show that they are fast again.
-constexpr double longest_gap_ms = 1000;
+// Several hundred routers may share a few slots.
+constexpr double min_limit = 0.05;
+// The limit rises by about a tenth of a request for each round of as many answers as it lets run at once; below one, by
+// a tenth of its value.
+constexpr double increase = 0.1;
+constexpr double min_increase = 0.02;
+constexpr double decrease_factor = 0.85;
+// Answers to requests sent before a decrease say nothing about the limit after it.
+constexpr milliseconds decrease_interval { 100 };
+constexpr double newest_weight = 0.3;
+// The limit counts as used while it is at most twice the number of requests under way.
+constexpr double max_limit_per_running = 2;
+// Whatever the answer times were, a request is allowed after this gap: nothing else would show that answers are fast
+// again.
+constexpr double max_send_gap_ms = 1000;
 
 } // namespace
 
-void answer_time_limit::note_answer(double took_ms, double bearable_ms, std::uint32_t running, instant now)
+void answer_time_limit::record_answer(double took_ms, double acceptable_ms, std::uint32_t running, instant now)
 {
-    m_took_ms += weight_of_the_newest * (took_ms - m_took_ms);
-    if (took_ms > bearable_ms)
-        return fall(now);
-    // A limit that is not used is not raised: it would mean nothing once it is.
-    if (m_limit > most_over_use * static_cast<double>(running + 1))
+    m_answer_time_ms += newest_weight * (took_ms - m_answer_time_ms);
+    if (took_ms > acceptable_ms)
+        return decrease(now);
+    // An unused limit is not raised: its value would mean nothing once it is used.
+    if (m_limit > max_limit_per_running * static_cast<double>(running + 1))
         return;
-    auto const step = m_limit < 1 ? std::max(rise * m_limit, least_rise) : rise / m_limit;
+    auto const step = m_limit < 1 ? std::max(increase * m_limit, min_increase) : increase / m_limit;
     m_limit += step;
 }
 
-void answer_time_limit::fall(instant now)
+void answer_time_limit::decrease(instant now)
 {
-    if (now - m_fell_at < fall_interval)
+    if (now - m_decreased_at < decrease_interval)
         return;
-    m_fell_at = now;
-    m_limit = std::max(m_limit * fall_to, least_limit);
+    m_decreased_at = now;
+    m_limit = std::max(m_limit * decrease_factor, min_limit);
 }
 
 bool answer_time_limit::allows(std::uint32_t running, instant now) const
 {
-    auto const room = m_limit - static_cast<double>(running);
-    if (room >= 1)
+    auto const headroom = m_limit - static_cast<double>(running);
+    if (headroom >= 1)
         return true;
-    auto const gap_ms = std::min(m_took_ms / m_limit, longest_gap_ms);
-    return room > 0 && static_cast<double>((now - m_sent_at).count()) >= gap_ms;
+    auto const gap_ms = std::min(m_answer_time_ms / m_limit, max_send_gap_ms);
+    return headroom > 0 && static_cast<double>((now - m_sent_at).count()) >= gap_ms;
 }
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/admission/fading_sum.h
+++ b/libraries/dispatch/admission/decaying_sum.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A sum that fades: as large as a window's sum while amounts come evenly, and without the moment at which all of a
-// burst leaves a window at once and the next burst is let in. With windows a large team got its share in one second of
-// four, and nothing in the others: 36 of 450 spans of six seconds left a team under half of what was due, none with
-// this (ten teams before uneven engines, virtual time); 0.005 more of the worth on nine deployments (18 pairs of days,
-// -0.015 to +0.022).
+// An exponentially decaying sum. It equals the sum over a window while amounts arrive evenly, but avoids the moment at
+// which a whole burst leaves a window at once and the next burst is admitted. With plain windows, a large team received
+// its share in one second of four and nothing in the others: 36 of 450 intervals of six seconds gave a team less than
+// half of its entitlement, against none with this sum (ten teams, unequal engines, virtual time). On nine deployments
+// the worth of answers changed by +0.005 (18 pairs of days, -0.015 to +0.022).
 #pragma once
 
 #include "base/units.h"
@@ -14,11 +14,12 @@
 
 namespace shedhill::dispatch {
 
-// What is added counts twice at first and fades with half of the window as its time: the mean age is that of a window.
+// An amount counts twice at first and decays with half of the window as time constant; its mean age equals that of a
+// window.
 template <std::size_t Spans>
-class fading_sum {
+class decaying_sum {
 public:
-    explicit fading_sum(milliseconds window)
+    explicit decaying_sum(milliseconds window)
         : m_span(window / static_cast<std::int64_t>(Spans))
     {
     }
@@ -37,10 +38,10 @@
 
 private:
     static constexpr double first_weight = 2;
-    // Less is nothing: what has faded is not told to others for ever.
-    static constexpr double least = 16;
+    // Smaller values become zero, so that a decayed sum is not reported forever.
+    static constexpr double min_sum = 16;
 
-    // In steps of a span, so that others are told of a change no more often than a window's spans pass.
+    // Decays in steps of a span, so that changes are reported no more often than once per span.
     void advance(instant now)
     {
         auto const position = now.time_since_epoch() / m_span;
@@ -49,12 +50,12 @@
         auto const steps = static_cast<double>(position - m_position);
         m_position = position;
         m_sum *= std::exp(-first_weight * steps / static_cast<double>(Spans));
-        if (std::abs(m_sum) < least)
+        if (std::abs(m_sum) < min_sum)
             m_sum = 0;
     }
 
     milliseconds m_span;
-    // The number of the newest span.
+    // Number of the latest span.
     std::int64_t m_position { 0 };
     double m_sum { 0 };
 };
--- a/libraries/dispatch/admission/fleet_retry_budget.cpp
+++ b/libraries/dispatch/admission/fleet_retry_budget.cpp
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Requests and repeats by pool.
+// Counts requests and retries of each pool.
 #include "libraries/dispatch/admission/fleet_retry_budget.h"
 
 namespace shedhill::dispatch {
 
 namespace {
 
-// Kept back, because windows of different routers do not begin together.
-constexpr double spent_part = 0.6;
+// Fraction of the budget that is used. The rest is held in reserve, because the windows of different routers do not
+// start at the same time.
+constexpr double usable_fraction = 0.6;
 
 } // namespace
 
@@ -16,16 +17,16 @@
     return m_windows.try_emplace(pool, m_bounds.window).first->second;
 }
 
-void fleet_retry_budget::note_request(pool_name const& pool, instant now) { window_of(pool).requests.add(now, 1); }
+void fleet_retry_budget::record_request(pool_name const& pool, instant now) { window_of(pool).requests.add(now, 1); }
 
 bool fleet_retry_budget::spend(pool_name const& pool, instant now)
 {
     auto& window = window_of(pool);
     auto const by_requests = m_bounds.ratio * static_cast<double>(window.requests.sum(now));
     auto const by_slack = m_bounds.slack / static_cast<double>(m_bounds.routers);
-    if (static_cast<double>(window.repeats.sum(now) + 1) > spent_part * (by_requests + by_slack))
+    if (static_cast<double>(window.retries.sum(now) + 1) > usable_fraction * (by_requests + by_slack))
         return false;
-    window.repeats.add(now, 1);
+    window.retries.add(now, 1);
     return true;
 }
 
--- a/libraries/dispatch/admission/fleet_retry_budget.h
+++ b/libraries/dispatch/admission/fleet_retry_budget.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// This router's part of a budget that holds for the whole fleet: within each window, arrivals at a pool beyond the
-// first of each request. It needs no word from the other routers: each spends a part of what its own requests allow,
-// and an equal part of the slack.
+// Computes this router's share of a retry budget of the whole fleet. Within each window, the budget bounds the arrivals
+// at a pool beyond the first of each request. It needs no reports of other routers: each router uses a fraction of its
+// own requests, and an equal share of the slack.
 #pragma once
 
 #include "libraries/dispatch/admission/sliding_sum.h"
@@ -12,11 +12,12 @@
 namespace shedhill::dispatch {
 
 struct retry_bounds {
+    // Retries allowed for each request within the window.
     double ratio { 0.1 };
     milliseconds window { 10000 };
-    // What the whole fleet may spend whatever it is asked.
+    // Retries that the whole fleet may send in a window in addition to the ratio.
     double slack { 10 };
-    // Routers that may share the slack.
+    // Number of routers that share the slack.
     std::size_t routers { 1 };
 };
 
@@ -28,8 +29,8 @@
     }
 
     void set_routers(std::size_t routers) { m_bounds.routers = std::max<std::size_t>(routers, 1); }
-    void note_request(pool_name const& pool, instant now);
-    // Whether one more arrival may be spent; it is counted then.
+    void record_request(pool_name const& pool, instant now);
+    // Whether one more arrival is within the budget; if so, it is counted.
     bool spend(pool_name const& pool, instant now);
 
 private:
@@ -38,11 +39,11 @@
     struct pool_window {
         explicit pool_window(milliseconds window)
             : requests(window)
-            , repeats(window)
+            , retries(window)
         {
         }
         sliding_sum<window_spans> requests;
-        sliding_sum<window_spans> repeats;
+        sliding_sum<window_spans> retries;
     };
 
     pool_window& window_of(pool_name const& pool);
--- a/libraries/dispatch/admission/overload_guard.h
+++ b/libraries/dispatch/admission/overload_guard.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Whether this router has more to do than it can, and how much of what comes it turns away at once: each refusal sends
-// the caller to another router, which may have time, before any work was spent on the request here.
+// Detects that this router is overloaded, and determines what fraction of requests it refuses at once. Each refusal
+// sends the caller to another router, which may have capacity, before this router spends work on the request.
 #pragma once
 
 #include "base/units.h"
@@ -12,58 +12,61 @@
 
 namespace shedhill::dispatch {
 
-// What a router has seen of itself since its last tick.
+// What a router measured about itself since its last tick.
 struct own_load {
-    // How much later than wanted the tick came.
+    // How much later than scheduled the tick ran.
     milliseconds lag { 0 };
-    // The part of the time in which the process did not wait.
-    double busy_part { 0 };
-    // The part of the link that was in use.
-    double link_part { 0 };
+    // Fraction of the time in which the process did not wait.
+    double busy_fraction { 0 };
+    // Fraction of the link's capacity that was in use.
+    double link_fraction { 0 };
 };
 
-// What a router knows of the others.
+// What a router knows about the fleet.
 struct fleet_load {
-    // This one included.
+    // All routers, this one included.
     std::size_t routers { 1 };
-    std::size_t others_aside { 0 };
-    // Of those that are not aside, the part of their time in which they do not wait, on average.
-    double others_busy_part { 0 };
+    std::size_t others_overloaded { 0 };
+    // Average busy fraction of the other routers that are not overloaded.
+    double others_busy_fraction { 0 };
 };
 
 class overload_guard {
 public:
-    // Called at each tick.
-    void note_tick(own_load const& seen);
+    // Updates the measurements; called at each tick.
+    void record_tick(own_load const& load);
 
-    // What is timed here, such as how long an endpoint took, tells more of this router than of others.
+    // Whether this router runs late. Durations that it then measures, such as an endpoint's answer time, say more about
+    // this router than about others.
     [[nodiscard]] bool is_behind() const;
-    // Whether a request is turned away. The draw decides for a part of them.
-    [[nodiscard]] bool refuses(team_standing standing, std::uint64_t draw) const;
+    // Whether a request is refused. `draw` is a random number that selects the refused fraction.
+    [[nodiscard]] bool refuses(share_status status, std::uint64_t draw) const;
 
-    // Turning away does not help where the same callers come back to the same router. One that has been overloaded for
-    // a while, while others have time, steps aside: it takes no new callers for some time, the longer the oftener. At
-    // most a part of the routers may be aside at once. Whether it has stepped aside or come back.
-    bool update_aside(fleet_load const& fleet, instant now);
-    // The part of its time, or of its link if that is more, that is in use.
-    [[nodiscard]] double busy_part() const { return std::max(m_busy_part, m_link_part); }
-    [[nodiscard]] bool is_overloaded() const { return m_is_aside; }
+    // Updates whether this router declares itself overloaded, and returns whether that changed. Refusals do not help
+    // where the same callers return to the same router. A router that has refused many requests for some time, while
+    // others have capacity, therefore takes no new callers for a period, which doubles if the overload returns soon. At
+    // most a fraction of the routers may be in this state at once.
+    bool update_overload_state(fleet_load const& fleet, instant now);
+    // Returns the busy fraction of the process or of its link, whichever is larger.
+    [[nodiscard]] double busy_fraction() const { return std::max(m_busy_fraction, m_link_fraction); }
+    [[nodiscard]] bool is_overloaded() const { return m_is_overloaded; }
 
 private:
-    [[nodiscard]] double refused_part(team_standing standing) const;
+    [[nodiscard]] double refusal_fraction(share_status status) const;
 
-    // Smoothed over about a tenth of a second, the link over about half a second: a large body fills it for a moment.
+    // Moving averages: over about a tenth of a second for lag and process, and about half a second for the link, which
+    // a large body fills for a moment.
     double m_lag_ms { 0 };
-    double m_busy_part { 0 };
-    double m_link_part { 0 };
-    // Rises while there is too much to do, and falls while there is time.
-    double m_refused_part { 0 };
-    // Since when much is turned away; the epoch while it is not.
-    instant m_overloaded_since {};
-    bool m_is_aside { false };
-    // While aside: until when. After that: when it came back.
-    instant m_aside_until {};
-    milliseconds m_aside_time { 0 };
+    double m_busy_fraction { 0 };
+    double m_link_fraction { 0 };
+    // Fraction of requests that is refused; rises while the router is overloaded and falls while it has capacity.
+    double m_refusal_fraction { 0 };
+    // Since when the router has refused many requests; the epoch while it does not.
+    instant m_refusing_since {};
+    bool m_is_overloaded { false };
+    // While overloaded: the earliest end of that state. Afterwards: when the state ended.
+    instant m_overloaded_until {};
+    milliseconds m_overload_period { 0 };
 };
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/admission/sliding_sum.h
+++ b/libraries/dispatch/admission/sliding_sum.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A sum over the last so many milliseconds, kept in a ring of equal spans.
+// A sum over a sliding time window, kept in a ring of equal spans.
 #pragma once
 
 #include "base/units.h"
@@ -10,7 +10,7 @@
 
 namespace shedhill::dispatch {
 
-// The window is Spans times the span's length; what is older leaves span by span.
+// The window is as long as `Spans` spans; older amounts leave the sum one span at a time.
 template <std::size_t Spans>
 class sliding_sum {
 public:
@@ -48,7 +48,7 @@
     }
 
     milliseconds m_span;
-    // The number of the newest span.
+    // Number of the latest span.
     std::size_t m_position { 0 };
     // Invariant: the sum of m_values.
     std::int64_t m_sum { 0 };
--- a/libraries/dispatch/admission/team_ledger.cpp
+++ b/libraries/dispatch/admission/team_ledger.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Sums by team, own and reported, and the water filling that gives the share.
+// Implements the sums of each team, own and reported, and the water-filling algorithm that computes the share.
 #include "libraries/dispatch/admission/team_ledger.h"
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::int64_t ms_per_second = 1000;
-// After a start of all routers the share begins with so much of the window: engines that were idle can take about a
-// second's worth at once and still begin in time.
-constexpr milliseconds head_start { 1000 };
+// After a start of all routers, the share begins with this part of the window: idle engines can accept about one
+// second's worth of requests at once and still start them in time.
+constexpr milliseconds initial_span { 1000 };
 
 void add(team_usage& sum, team_usage const& usage, int sign)
 {
@@ -21,8 +21,9 @@
     sum.admitted += sign * usage.admitted;
 }
 
-// The level up to which all demands are filled so that together they use up the amount.
-token_count fill(std::vector<token_count> demands, token_count amount)
+// Returns the level up to which all demands can be met so that together they use the amount; unlimited if the amount
+// meets all demands.
+token_count fair_level(std::vector<token_count> demands, token_count amount)
 {
     std::ranges::sort(demands);
     auto left = static_cast<token_count>(demands.size());
@@ -38,7 +39,7 @@
 } // namespace
 
 team_ledger::own_sums::own_sums(milliseconds window)
-    : asked(window)
+    : requested(window)
     , admitted(window)
 {
 }
@@ -52,7 +53,10 @@
 
 team_ledger::own_sums& team_ledger::sums_of(team_key team) { return m_own.try_emplace(team, m_window).first->second; }
 
-void team_ledger::note_asked(team_key team, instant now, token_count amount) { sums_of(team).asked.add(now, amount); }
+void team_ledger::record_requested(team_key team, instant now, token_count amount)
+{
+    sums_of(team).requested.add(now, amount);
+}
 
 void team_ledger::charge(team_key team, instant now, token_count amount) { sums_of(team).admitted.add(now, amount); }
 
@@ -66,9 +70,9 @@
     return level;
 }
 
-void team_ledger::add_told(report& told, team_usage const& usage)
+void team_ledger::replace_usage(report& source, team_usage const& usage)
 {
-    auto const before = std::exchange(told.teams[usage.team], usage);
+    auto const before = std::exchange(source.teams[usage.team], usage);
     auto const replace_in = [&](usage_by_team& sums) {
         auto& sum = sums[usage.team];
         sum.team = usage.team;
@@ -76,37 +80,37 @@
         add(sum, usage, 1);
     };
     replace_in(m_others);
-    if (told.place == source_place::own_domain)
-        replace_in(m_neighbours);
+    if (source.origin == report_origin::own_domain)
+        replace_in(m_domain_peers);
 }
 
-void team_ledger::take_report(peer_report const& told, source_place place, instant now)
+void team_ledger::apply_report(peer_report const& received, report_origin origin, instant now)
 {
-    m_known_since = std::min(m_known_since.value_or(now), now - told.observed_span);
-    auto const source = told.source();
-    if (told.scope == report_scope::whole)
+    m_observed_since = std::min(m_observed_since.value_or(now), now - received.observed_span);
+    auto const source = received.source();
+    if (received.scope == report_scope::whole)
         forget(source);
-    auto& known = m_reports.try_emplace(source, report { place, {} }).first->second;
-    for (auto const& usage : told.teams)
-        add_told(known, usage);
+    auto& stored = m_reports.try_emplace(source, report { origin, {} }).first->second;
+    for (auto const& usage : received.teams)
+        replace_usage(stored, usage);
 }
 
 void team_ledger::forget(report_source const& source)
 {
-    auto const known = m_reports.find(source);
-    if (known == m_reports.end())
+    auto const stored = m_reports.find(source);
+    if (stored == m_reports.end())
         return;
-    auto const teams = known->second.teams;
+    auto const teams = stored->second.teams;
     for (auto const& [team, usage] : teams)
-        add_told(known->second, { team, 0, 0 });
-    m_reports.erase(known);
+        replace_usage(stored->second, { team, 0, 0 });
+    m_reports.erase(stored);
 }
 
 void team_ledger::update_shares(token_count tokens_per_second, instant now)
 {
-    if (!m_known_since)
-        m_known_since = now;
-    auto const span = std::min(observed_span(now) + head_start, m_window);
+    if (!m_observed_since)
+        m_observed_since = now;
+    auto const span = std::min(observed_span(now) + initial_span, m_window);
     auto all = m_others;
     for (auto const& usage : own_usage(now))
         add(all[usage.team], usage, 1);
@@ -116,30 +120,30 @@
         demands.push_back(usage.requested);
         admitted += usage.admitted;
     }
-    m_even_level = fill(demands, admitted);
-    m_share = tokens_per_second > 0 ? fill(std::move(demands), tokens_per_second * span.count() / ms_per_second)
+    m_even_level = fair_level(demands, admitted);
+    m_share = tokens_per_second > 0 ? fair_level(std::move(demands), tokens_per_second * span.count() / ms_per_second)
                                     : std::numeric_limits<token_count>::max();
 }
 
 milliseconds team_ledger::observed_span(instant now) const
 {
-    return m_known_since ? std::clamp(now - *m_known_since, milliseconds(0), m_window) : milliseconds(0);
+    return m_observed_since ? std::clamp(now - *m_observed_since, milliseconds(0), m_window) : milliseconds(0);
 }
 
 std::vector<team_usage> team_ledger::own_usage(instant now)
 {
     std::vector<team_usage> usage;
     for (auto& [team, sums] : m_own) {
-        team_usage const told { team, sums.asked.sum(now), sums.admitted.sum(now) };
-        if (told.requested != 0 || told.admitted != 0)
-            usage.push_back(told);
+        team_usage const sum { team, sums.requested.sum(now), sums.admitted.sum(now) };
+        if (sum.requested != 0 || sum.admitted != 0)
+            usage.push_back(sum);
     }
     return usage;
 }
 
 std::vector<team_usage> team_ledger::domain_usage(instant now)
 {
-    auto sums = m_neighbours;
+    auto sums = m_domain_peers;
     for (auto const& own : own_usage(now)) {
         auto& sum = sums[own.team];
         sum.team = own.team;
--- a/libraries/dispatch/admission/team_ledger.h
+++ b/libraries/dispatch/admission/team_ledger.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What each team asked for and was given of late, here and at the other routers: its level, by which waiting requests
-// are ordered, and the max-min share of what all endpoints produce.
+// Tracks what each team recently requested and received, at this router and at the others: a team's level, by which
+// waiting requests are ordered, and the max-min fair share of the throughput of all endpoints.
 #pragma once
 
-#include "libraries/dispatch/admission/fading_sum.h"
+#include "libraries/dispatch/admission/decaying_sum.h"
 #include "libraries/dispatch/events.h"
 
 #include <optional>
@@ -12,39 +12,40 @@
 
 namespace shedhill::dispatch {
 
-// Whether a report counts in what its reader tells of its own failure domain.
-enum class source_place { own_domain, elsewhere };
+// Whether a report counts toward the sums that its receiver reports for its own failure domain.
+enum class report_origin { own_domain, elsewhere };
 
-// Its sums fade with half of the window as their time; where amounts come evenly they are those of the window.
+// The sums decay with half of the window as time constant; where amounts arrive evenly they equal the sums over the
+// window.
 class team_ledger {
 public:
     explicit team_ledger(milliseconds window);
 
-    void note_asked(team_key team, instant now, token_count amount);
-    // Charges the expected cost at admission; a negative amount corrects it at the end.
+    void record_requested(team_key team, instant now, token_count amount);
+    // Charges the expected cost at admission; a negative amount corrects the charge at the end of the request.
     void charge(team_key team, instant now, token_count amount);
     [[nodiscard]] token_count level(team_key team, instant now);
 
-    // The sums within the window of another router, or of another failure domain. A whole report replaces all that the
-    // source told before, changes replace it team by team; so a report that is repeated adds nothing.
-    void take_report(peer_report const& report, source_place place, instant now);
+    // Stores the sums of another router or failure domain. A whole report replaces everything that the source reported
+    // before, and a report of changes replaces it team by team; a repeated report therefore adds nothing.
+    void apply_report(peer_report const& report, report_origin origin, instant now);
     void forget(report_source const& source);
 
-    // Computes the shares anew from what all teams ask for, at the rate that is owed to all together.
+    // Recomputes the shares from the requests of all teams, at the throughput to which all together are entitled.
     void update_shares(token_count tokens_per_second, instant now);
-    // How long the fleet's sums have been known, up to the window.
+    // Returns for how long the fleet's sums have been observed, up to the window.
     [[nodiscard]] milliseconds observed_span(instant now) const;
-    // What a team may have within a window, or in the time for which the sums are known and a little more: routers that
-    // all start at once know of nothing that was admitted, and would let in a whole window's share of all teams in a
-    // moment. Without a limit while none was computed.
+    // The tokens to which a team is entitled within the window or, if that is shorter, within the observed time plus an
+    // initial span: routers that all start at once know nothing of admitted requests, and would admit a whole window's
+    // share of all teams at once. Unlimited until the first computation.
     [[nodiscard]] token_count share() const { return m_share; }
-    // What each team that asked for more would have, had all that was admitted within the window been shared evenly;
-    // without a limit where everyone got what it asked for.
+    // The level that each team with unmet demand would have if everything admitted within the window had been divided
+    // by max-min fairness; unlimited where every team received what it requested.
     [[nodiscard]] token_count even_level() const { return m_even_level; }
 
-    // This router's own sums, for the others.
+    // Returns this router's own sums, for reports to other routers.
     [[nodiscard]] std::vector<team_usage> own_usage(instant now);
-    // The same, added to those of the routers of its failure domain, for other failure domains.
+    // Returns the same plus the sums of the other routers of this failure domain, for reports to other failure domains.
     [[nodiscard]] std::vector<team_usage> domain_usage(instant now);
 
 private:
@@ -52,28 +53,29 @@
 
     struct own_sums {
         explicit own_sums(milliseconds window);
-        fading_sum<window_spans> asked;
-        fading_sum<window_spans> admitted;
+        decaying_sum<window_spans> requested;
+        decaying_sum<window_spans> admitted;
     };
 
     using usage_by_team = std::unordered_map<team_key, team_usage>;
 
     struct report {
-        source_place place { source_place::elsewhere };
+        report_origin origin { report_origin::elsewhere };
         usage_by_team teams;
     };
 
     own_sums& sums_of(team_key team);
-    void add_told(report& told, team_usage const& usage);
+    void replace_usage(report& source, team_usage const& usage);
 
     milliseconds m_window;
-    // Since when some router has known the sums; none before the first computation.
-    std::optional<instant> m_known_since;
+    // Since when any router has observed the sums; empty before the first computation.
+    std::optional<instant> m_observed_since;
     std::unordered_map<team_key, own_sums> m_own;
     std::unordered_map<report_source, report> m_reports;
-    // Derived from m_reports: their sums for each team, and those of this failure domain's routers alone.
+    // Derived from m_reports: the sums of each team over all sources, and over the routers of this failure domain
+    // alone.
     usage_by_team m_others;
-    usage_by_team m_neighbours;
+    usage_by_team m_domain_peers;
     token_count m_share;
     token_count m_even_level;
 };
--- a/libraries/dispatch/dispatch_admission.cpp
+++ b/libraries/dispatch/dispatch_admission.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // Handles a request from its arrival until it is sent: route, team, queue, choice of an endpoint, and early refusal.
 #include "base/hash.h"
-#include "libraries/dispatch/admission/return_time.h"
+#include "libraries/dispatch/admission/retry_delay.h"
 #include "libraries/dispatch/dispatch_reducer.h"
 #include "libraries/dispatch/log_fields.h"
 
@@ -77,9 +77,9 @@
     auto const route_time = route->time_limit.count() > 0 ? route->time_limit : m_options.default_deadline;
     request.deadline = step.now + std::min(caller_time, route_time);
     request.ends_at_route_limit = route_time <= caller_time;
-    m_retries.note_request(*pool, step.now);
+    m_retries.record_request(*pool, step.now);
     if (request.is_engine)
-        m_ledger.note_asked(request.account, step.now, request.cost.weighted());
+        m_ledger.record_requested(request.account, step.now, request.cost.weighted());
     admit(arrived.request, std::move(request), step);
 }
 
@@ -100,8 +100,8 @@
     if (m_waiting.empty() && try_to_send(number, stored, step))
         return;
     // Refuses immediately if the team's excess leaves it no slots, or if the team is ahead while many requests wait.
-    if (terms_for(stored, step).most_load <= 0
-        || (m_waiting.size() >= many_waiting && standing_of(stored, step) == team_standing::ahead))
+    if (terms_for(stored, step).max_load <= 0
+        || (m_waiting.size() >= many_waiting && share_status_of(stored, step) == share_status::ahead))
         return refuse(number, stored, status_too_many_requests, refusal_reason::team_over_share, step);
     m_waiting.push_back(number);
     serve_waiting_throttled(step);
@@ -109,7 +109,7 @@
 
 bool dispatch_reducer::is_overloaded_for(active_request const& request, step_context const& step)
 {
-    return request.is_engine && m_overload.refuses(standing_of(request, step), step.draw);
+    return request.is_engine && m_overload.refuses(share_status_of(request, step), step.draw);
 }
 
 endpoint_choice dispatch_reducer::choose(active_request const& request, step_context const& step)
@@ -126,8 +126,8 @@
     choice.time_left_ms = static_cast<double>((request.arrived + request.objective - step.now).count());
     choice.is_engine = request.is_engine;
     auto const terms = terms_for(request, step);
-    choice.most_load = terms.most_load;
-    choice.queueing_part = terms.queueing_part;
+    choice.max_load = terms.max_load;
+    choice.queueing_fraction = terms.queueing_fraction;
     choice.may_probe = request.retry != retry_mode::never && request.max_attempts > 1;
     choice.suspect = spread_of(request);
     return m_board.choose(choice, step.now);
@@ -138,18 +138,18 @@
     return { m_ledger.level(request.account, step.now), m_ledger.share(), m_ledger.even_level() };
 }
 
-team_standing dispatch_reducer::standing_of(active_request const& request, step_context const& step)
+share_status dispatch_reducer::share_status_of(active_request const& request, step_context const& step)
 {
     if (!request.is_engine || request.team.value().empty())
-        return team_standing::within_share;
-    return dispatch::standing_of(account_of(request, step));
+        return share_status::within_share;
+    return dispatch::share_status_of(account_of(request, step));
 }
 
 admission_terms dispatch_reducer::terms_for(active_request const& request, step_context const& step)
 {
     if (!request.is_engine)
         return plain_terms(request.objective, m_options.policy);
-    return terms_of(standing_of(request, step), account_of(request, step), request.objective,
+    return terms_of(share_status_of(request, step), account_of(request, step), request.objective,
         m_board.scarcity_of(request.pool), m_options.policy);
 }
 
@@ -159,13 +159,14 @@
     if (chosen.endpoint == nullptr)
         return false;
     request.last_choice = chosen.endpoint->entry.name;
-    request.last_running = chosen.endpoint->all_running();
-    request.last_redundant_prefill = chosen.lost;
+    request.last_running = chosen.endpoint->total_running();
+    request.last_redundant_prefill = chosen.redundant_prefill;
     request.expected_ms = chosen.expected_ms;
     if (!chosen.is_in_time)
         return false;
     // Another engine has cached much of the prompt and may have free capacity soon.
-    if (chosen.lost > max_redundant_prefill && step.now - request.arrived < terms_for(request, step).patience)
+    if (chosen.redundant_prefill > max_redundant_prefill
+        && step.now - request.arrived < terms_for(request, step).patience)
         return false;
     send(number, request, chosen, step);
     return true;
@@ -188,9 +189,9 @@
     request.overdue_counted_until = {};
     request.has_requested_backoff = false;
     begin_trial(request, step);
-    request.run = m_board.note_attempt(chosen, request.is_engine, step.now);
+    request.run = m_board.record_attempt(chosen, request.is_engine, step.now);
     if (endpoint.health.is_ejected())
-        endpoint.health.note_probe_sent();
+        endpoint.health.record_probe_sent();
     for (std::size_t index = 0; request.is_engine && index + 1 < request.cost.parts.size(); ++index)
         record_sent_part({ endpoint.key, request.cost.parts[index].id }, step);
     if (request.charged == 0 && !request.team.value().empty() && request.is_engine) {
@@ -222,13 +223,13 @@
             .add("level", m_ledger.level(request.account, step.now))
             .add("share", m_ledger.share())
             .add("even_level", m_ledger.even_level())
-            .add("running", endpoint.all_running())
+            .add("running", endpoint.total_running())
             .add("cold", endpoint.cold.is_cold(step.now) ? 1 : 0)
-            .add("unkept", chosen.unkept)
-            .add("ahead_ms", static_cast<std::int64_t>(request.run.forecast.before_ms))
-            .add("tokens_per_ms", static_cast<std::int64_t>(endpoint.pace.tokens_per_ms()))
-            .add("held", endpoint.all_held())
-            .add("lost", chosen.lost)
+            .add("unkept", chosen.uncached_tokens)
+            .add("ahead_ms", static_cast<std::int64_t>(request.run.estimate.queue_ms))
+            .add("tokens_per_ms", static_cast<std::int64_t>(endpoint.prefill_rate.tokens_per_ms()))
+            .add("held", endpoint.total_kv_tokens())
+            .add("lost", chosen.redundant_prefill)
             .add("prompt", request.cost.prompt)
             .add("part", request.cost.parts.size() < 2 ? 0 : request.cost.parts[request.cost.parts.size() - 2].id)
             .add("expected_ms", static_cast<std::int64_t>(chosen.expected_ms))
@@ -267,7 +268,7 @@
             continue;
         }
         ++failed_choices;
-        if (step.now - request.arrived >= terms_for(request, step).longest_wait)
+        if (step.now - request.arrived >= terms_for(request, step).max_wait)
             end_wait(entry.number, request, step);
     }
 }
@@ -301,7 +302,7 @@
     case suspicion::none:
         break;
     }
-    if (m_board.all_rest_for(request.pool, request.regions, step.now))
+    if (m_board.all_backed_off_for(request.pool, request.regions, step.now))
         return refusal_reason::endpoints_resting;
     if (m_board.has_endpoints(request.pool, request.regions))
         return refusal_reason::no_place;
@@ -314,8 +315,8 @@
 {
     if (suspicion_of(request, step) == suspicion::quarantined)
         return true;
-    if (auto const rest = m_board.all_rest_for(request.pool, request.regions, step.now))
-        return step.now + *rest > request.arrived + terms_for(request, step).longest_wait;
+    if (auto const rest = m_board.all_backed_off_for(request.pool, request.regions, step.now))
+        return step.now + *rest > request.arrived + terms_for(request, step).max_wait;
     return !m_board.has_endpoints(request.pool, request.regions);
 }
 
@@ -324,9 +325,9 @@
 {
     refused_caller const refused { reason, request.objective, request.deadline - step.now, m_overload.is_overloaded(),
         m_options.policy.early_return,
-        m_board.all_rest_for(request.pool, request.regions, step.now).value_or(milliseconds(0)),
+        m_board.all_backed_off_for(request.pool, request.regions, step.now).value_or(milliseconds(0)),
         m_suspects.quarantine_left(identity_of(request), step.now) };
-    return return_time(refused, step.draw);
+    return retry_delay(refused, step.draw);
 }
 
 void dispatch_reducer::refuse_unrouted(
@@ -334,7 +335,7 @@
 {
     answer_refusal refused { arrived.request, status, reason, std::nullopt };
     if (status == status_unavailable)
-        refused.retry_after = least_return;
+        refused.retry_after = default_retry_delay;
     step.effects.emplace_back(refused);
     step.effects.emplace_back(count_event { counter_kind::refusals, name_of(reason) });
     step.effects.emplace_back(log_line { severity::warning, "refused",
--- a/libraries/dispatch/dispatch_outcomes.cpp
+++ b/libraries/dispatch/dispatch_outcomes.cpp
@@ -24,7 +24,7 @@
         return ended.status >= first_server_error ? attempt_verdict::failed : attempt_verdict::good;
     case attempt_end::not_run:
     case attempt_end::wrong_endpoint:
-        return attempt_verdict::turned_away;
+        return attempt_verdict::rejected;
     case attempt_end::not_sent:
     case attempt_end::failed:
     case attempt_end::broken:
@@ -74,7 +74,7 @@
     auto* endpoint = m_board.find(request.instance);
     if (endpoint == nullptr)
         return;
-    endpoint->word.rest.note_good(request.sent_at);
+    endpoint->announced.backoff.record_success(request.sent_at);
     if (request.is_engine && !request.run.has_first_event)
         record_first_event(request, *endpoint, step);
     serve_waiting_throttled(step);
@@ -85,12 +85,12 @@
     // A router that is behind receives events late, so the delay does not measure the engine. It must not reach the
     // reports to other routers.
     if (m_overload.is_behind())
-        return endpoint_board::note_begun(endpoint, request.run);
+        return endpoint_board::record_prefill_end(endpoint, request.run);
     auto const took = static_cast<double>((step.now - request.sent_at).count());
-    auto const overdue = std::max(took - request.run.forecast.total_ms(), 0.0);
+    auto const overdue = std::max(took - request.run.estimate.total_ms(), 0.0);
     step.effects.emplace_back(timer_event {
         timer_kind::overdue_first_event, request.pool, milliseconds(static_cast<std::int64_t>(overdue)) });
-    m_board.note_first_event(endpoint, request.run, took, step.now);
+    m_board.record_first_event(endpoint, request.run, took, step.now);
 }
 
 void dispatch_reducer::handle(attempt_ended const& ended, step_context& step)
@@ -157,14 +157,14 @@
     if (request.has_requested_backoff)
         return;
     if (end == attempt_end::not_run)
-        return endpoint->answer_time.note_turned_away(step.now);
+        return endpoint->answer_time.record_rejection(step.now);
     if (end != attempt_end::complete)
         return;
     auto const took = static_cast<double>((step.now - request.sent_at).count());
     auto const sustainable = static_cast<double>(request.objective.count()) * m_options.policy.bearable_answer;
-    endpoint->answer_time.note_answer(took, sustainable, endpoint->own.running - 1, step.now);
+    endpoint->answer_time.record_answer(took, sustainable, endpoint->own.running - 1, step.now);
     if (verdict == attempt_verdict::good)
-        m_board.note_service_time(request.pool, took);
+        m_board.record_service_time(request.pool, took);
 }
 
 void dispatch_reducer::handle(attempt_stalled const& stalled, step_context& step)
@@ -178,7 +178,7 @@
         // The attempt continues, because silence alone is no reason to end an answer. Its endpoint counts as failing,
         // so that other requests go elsewhere.
         if (auto* endpoint = m_board.find(request.instance))
-            endpoint->health.note(attempt_verdict::failed, step.now);
+            endpoint->health.record(attempt_verdict::failed, step.now);
         return;
     }
     step.effects.emplace_back(cancel_attempt { stalled.request });
@@ -190,10 +190,10 @@
 {
     auto const found = m_requests.find(received.request);
     auto const id = found == m_requests.end() ? std::string() : found->second.caller_id;
-    auto const change = m_board.take_notice(received.instance, received.notice, step.now);
+    auto const change = m_board.apply_notice(received.instance, received.notice, step.now);
     if (received.notice.backoff.count() > 0 && found != m_requests.end() && found->second.instance == received.instance)
         found->second.has_requested_backoff = true;
-    if (change.has_begun_rest) {
+    if (change.has_started_backoff) {
         step.effects.emplace_back(count_event { counter_kind::notices, "rest" });
         step.effects.emplace_back(log_line { severity::warning, "endpoint_rests",
             log_fields()
@@ -202,7 +202,7 @@
                 .add("asked_ms", received.notice.backoff.count())
                 .take() });
     }
-    if (change.has_begun_leaving) {
+    if (change.has_started_leaving) {
         step.effects.emplace_back(count_event { counter_kind::notices, "leaving" });
         step.effects.emplace_back(log_line { severity::warning, "endpoint_leaves",
             log_fields().add("endpoint", received.endpoint.value()).add("id", id).take() });
@@ -217,16 +217,16 @@
     if (endpoint == nullptr)
         return;
     bool const has_failed = verdict != nullptr && *verdict != attempt_verdict::good;
-    m_board.note_end(
+    m_board.record_end(
         *endpoint, request.run, has_failed ? endpoint_board::run_end::failed : endpoint_board::run_end::done, step.now);
     // A failure while this router is behind or its link is full does not show that the endpoint fails.
     bool const is_own_overload = m_overload.is_behind() && verdict != nullptr && *verdict == attempt_verdict::failed;
     // A requested back-off is not a failure of the endpoint.
     if (verdict == nullptr || is_own_overload || request.has_requested_backoff)
-        return endpoint->health.note_probe_over();
+        return endpoint->health.record_probe_end();
     if (*verdict == attempt_verdict::good && request.form == answer_form::whole)
-        endpoint->word.rest.note_good(request.sent_at);
-    if (!endpoint->health.note(*verdict, step.now))
+        endpoint->announced.backoff.record_success(request.sent_at);
+    if (!endpoint->health.record(*verdict, step.now))
         return;
     step.effects.emplace_back(count_event { counter_kind::ejections, {} });
     step.effects.emplace_back(log_line { severity::warning, "endpoint_ejected",
@@ -340,11 +340,11 @@
             .add("team", request.team.value())
             .add("level", m_ledger.level(request.account, step.now))
             .add("pool", request.pool.value())
-            .add("taken", occupied.taken)
-            .add("places", occupied.places)
+            .add("taken", occupied.used_slots)
+            .add("places", occupied.slots)
             .add("scarce_percent", static_cast<int>(m_board.scarcity_of(request.pool) * percent))
             .add("rest_ms",
-                m_board.all_rest_for(request.pool, request.regions, step.now).value_or(milliseconds(0)).count())
+                m_board.all_backed_off_for(request.pool, request.regions, step.now).value_or(milliseconds(0)).count())
             .add("content", request.content.value_or(content_hash()).value())
             .add("crashes", m_suspects.crashes_of(identity_of(request)))
             .add("waiting", m_waiting.size())
--- a/libraries/dispatch/dispatch_reducer.cpp
+++ b/libraries/dispatch/dispatch_reducer.cpp
@@ -53,7 +53,7 @@
     if (m_routes.adopt(received.declared) == adoption::not_newer)
         return;
     auto const& current = m_routes.current();
-    m_board.take_pools(current.pools, current.limits.tokens_per_second);
+    m_board.apply_pools(current.pools, current.limits.tokens_per_second);
     step.effects.emplace_back(log_line { severity::info, "configuration_in_force",
         log_fields()
             .add("revision", current.revision)
@@ -90,7 +90,7 @@
 
 void dispatch_reducer::handle(endpoints_listed const& listed, step_context& step)
 {
-    m_board.take_list(listed.entries, step.now);
+    m_board.apply_list(listed.entries, step.now);
     m_has_list = true;
     step.effects.emplace_back(log_line { severity::debug, "endpoints_listed",
         log_fields()
@@ -121,7 +121,7 @@
 
 void dispatch_reducer::log_rate_changes(step_context& step)
 {
-    auto const changes = m_board.take_pace_changes();
+    auto const changes = m_board.take_rate_changes();
     auto const logged = std::min(changes.size(), max_rate_lines);
     for (std::size_t index = 0; index < logged; ++index) {
         auto const& change = changes[index];
@@ -137,7 +137,7 @@
 
 void dispatch_reducer::log_ended_backoffs(step_context& step)
 {
-    for (auto const& endpoint : m_board.take_ended_rests(step.now))
+    for (auto const& endpoint : m_board.take_ended_backoffs(step.now))
         step.effects.emplace_back(
             log_line { severity::debug, "endpoint_rested", log_fields().add("endpoint", endpoint.value()).take() });
 }
@@ -147,7 +147,7 @@
     for (auto& [number, request] : m_requests) {
         if (request.state != phase::running || !request.is_engine || request.run.has_first_event)
             continue;
-        auto const due = request.sent_at + milliseconds(static_cast<std::int64_t>(request.run.forecast.total_ms()));
+        auto const due = request.sent_at + milliseconds(static_cast<std::int64_t>(request.run.estimate.total_ms()));
         auto const since = std::max(due, request.overdue_counted_until);
         if (now <= since)
             continue;
@@ -155,19 +155,19 @@
         if (m_overload.is_behind())
             continue;
         if (auto* const endpoint = m_board.find(request.instance))
-            m_board.note_overdue(*endpoint, request.run, static_cast<double>((now - since).count()), now);
+            m_board.record_overdue(*endpoint, request.run, static_cast<double>((now - since).count()), now);
     }
 }
 
 void dispatch_reducer::handle(routers_listed const& listed, step_context& step)
 {
-    m_board.take_routers(listed, step.now);
+    m_board.apply_routers(listed, step.now);
 }
 
-source_place dispatch_reducer::source_place_of(peer_report const& report) const
+report_origin dispatch_reducer::source_place_of(peer_report const& report) const
 {
     bool const is_domain_peer = report.subject == report_subject::router && report.domain == m_options.domain;
-    return is_domain_peer ? source_place::own_domain : source_place::elsewhere;
+    return is_domain_peer ? report_origin::own_domain : report_origin::elsewhere;
 }
 
 bool dispatch_reducer::is_already_counted(peer_report const& report) const
@@ -209,9 +209,9 @@
         step.effects.emplace_back(log_line { severity::debug, "peer_regained",
             log_fields().add("peer", report.source().value()).add("teller", report.peer.value()).take() });
     auto const place = source_place_of(report);
-    m_ledger.take_report(report, place, step.now);
-    m_board.take_report(report, place, step.now);
-    if (place == source_place::own_domain && step.now - m_domain_reported_at < max_domain_report_gap)
+    m_ledger.apply_report(report, place, step.now);
+    m_board.apply_report(report, place, step.now);
+    if (place == report_origin::own_domain && step.now - m_domain_reported_at < max_domain_report_gap)
         m_domain_sent_parts.insert(m_domain_sent_parts.end(), report.parts.begin(), report.parts.end());
     m_retries.set_routers(std::max(other_routers() + 1, m_options.retries.routers));
 }
@@ -247,14 +247,14 @@
 
 void dispatch_reducer::handle(tick const& ticked, step_context& step)
 {
-    m_overload.note_tick({ ticked.lag, ticked.busy_fraction, ticked.link_fraction });
-    if (m_overload.update_aside(load_of_fleet(), step.now))
+    m_overload.record_tick({ ticked.lag, ticked.busy_fraction, ticked.link_fraction });
+    if (m_overload.update_overload_state(load_of_fleet(), step.now))
         update_ready(step);
     if (step.now - m_shares_updated_at >= shares_interval) {
         m_shares_updated_at = step.now;
         m_ledger.update_shares(m_routes.current().limits.tokens_per_second, step.now);
         update_overdue(step.now);
-        m_board.update_paces(step.now);
+        m_board.update_rates(step.now);
         m_suspects.forget_old(step.now);
         log_ended_backoffs(step);
     }
@@ -289,11 +289,11 @@
     load.routers = other_routers() + 1;
     double busy = 0;
     for (auto const& [source, state] : m_peers) {
-        load.others_aside += state.overloaded_routers;
+        load.others_overloaded += state.overloaded_routers;
         busy += state.busy_fraction * (state.routers - std::min(state.overloaded_routers, state.routers));
     }
-    if (load.routers - 1 > load.others_aside)
-        load.others_busy_part = busy / static_cast<double>(load.routers - 1 - load.others_aside);
+    if (load.routers - 1 > load.others_overloaded)
+        load.others_busy_fraction = busy / static_cast<double>(load.routers - 1 - load.others_overloaded);
     return load;
 }
 
@@ -310,7 +310,7 @@
             .add("aside", m_overload.is_overloaded() ? 1 : 0)
             .add("draining", m_is_draining ? 1 : 0)
             .add("active", m_requests.size())
-            .add("busy_percent", static_cast<int>(m_overload.busy_part() * percent))
+            .add("busy_percent", static_cast<int>(m_overload.busy_fraction() * percent))
             .take() });
 }
 
@@ -332,7 +332,7 @@
     report.teams = m_reported_own_usage.take(m_ledger.own_usage(now), scope);
     report.observed_span = m_ledger.observed_span(now);
     report.overloaded_routers = m_overload.is_overloaded() ? 1 : 0;
-    report.busy_fraction = m_overload.busy_part();
+    report.busy_fraction = m_overload.busy_fraction();
     report.parts = std::exchange(m_sent_parts, {});
     report.crashes = m_suspects.take_report_records(report_subject::router, scope, now);
     return report;
@@ -356,7 +356,7 @@
     report.parts = std::exchange(m_domain_sent_parts, {});
     report.crashes = m_suspects.take_report_records(report_subject::domain, scope, now);
     report.overloaded_routers = m_overload.is_overloaded() ? 1 : 0;
-    auto busy = m_overload.is_overloaded() ? 0 : m_overload.busy_part();
+    auto busy = m_overload.is_overloaded() ? 0 : m_overload.busy_fraction();
     for (auto const& [source, state] : m_peers) {
         if (state.subject != report_subject::router || state.domain != m_options.domain)
             continue;
@@ -369,13 +369,13 @@
     return report;
 }
 
-void dispatch_reducer::record_sent_part(part_placed const& placed, step_context const& step)
+void dispatch_reducer::record_sent_part(cached_part const& placed, step_context const& step)
 {
     auto* const endpoint = m_board.find(placed.endpoint);
     if (endpoint == nullptr)
         return;
-    auto const before = endpoint->places.last_use(placed.part);
-    endpoint->places.note(placed.part, step.now);
+    auto const before = endpoint->prompt_cache.last_use(placed.part);
+    endpoint->prompt_cache.record_use(placed.part, step.now);
     if (step.now - before < part_report_interval)
         return;
     m_sent_parts.push_back(placed);
--- a/libraries/dispatch/dispatch_reducer.h
+++ b/libraries/dispatch/dispatch_reducer.h
@@ -7,8 +7,8 @@
 #include "libraries/dispatch/admission/admission_terms.h"
 #include "libraries/dispatch/admission/fleet_retry_budget.h"
 #include "libraries/dispatch/admission/overload_guard.h"
+#include "libraries/dispatch/admission/reported_usage.h"
 #include "libraries/dispatch/admission/team_ledger.h"
-#include "libraries/dispatch/admission/told_usage.h"
 #include "libraries/dispatch/effects.h"
 #include "libraries/dispatch/endpoints/endpoint_board.h"
 #include "libraries/dispatch/events.h"
@@ -43,7 +43,7 @@
     [[nodiscard]] route_table const& routes() const { return m_routes; }
     [[nodiscard]] bool is_ready() const { return m_is_ready; }
     // The utilisation of this router's processor time or of its link, whichever is higher, from 0 to 1.
-    [[nodiscard]] double load_fraction() const { return m_overload.busy_part(); }
+    [[nodiscard]] double load_fraction() const { return m_overload.busy_fraction(); }
     [[nodiscard]] std::size_t active_requests() const { return m_requests.size(); }
     // The number of searches for an endpoint: the most expensive operation on a waiting request.
     [[nodiscard]] std::uint64_t choices() const { return m_choices; }
@@ -74,7 +74,7 @@
     {
         return m_suspects.own_quarantines(now);
     }
-    [[nodiscard]] std::vector<part_placed> recent_parts(instant now) const { return m_board.recent_parts(now); }
+    [[nodiscard]] std::vector<cached_part> recent_parts(instant now) const { return m_board.recent_parts(now); }
 
 private:
     enum class phase { waiting, running };
@@ -179,7 +179,7 @@
     [[nodiscard]] bool cannot_be_served(active_request const& request, step_context const& step);
     [[nodiscard]] endpoint_choice choose(active_request const& request, step_context const& step);
     [[nodiscard]] team_account account_of(active_request const& request, step_context const& step);
-    [[nodiscard]] team_standing standing_of(active_request const& request, step_context const& step);
+    [[nodiscard]] share_status share_status_of(active_request const& request, step_context const& step);
     [[nodiscard]] admission_terms terms_for(active_request const& request, step_context const& step);
     [[nodiscard]] milliseconds retry_delay_for(
         active_request const& request, refusal_reason reason, step_context const& step) const;
@@ -218,7 +218,7 @@
     void quarantine(request_identity const& request, std::string_view source, step_context& step);
 
     [[nodiscard]] fleet_load load_of_fleet() const;
-    [[nodiscard]] source_place source_place_of(peer_report const& report) const;
+    [[nodiscard]] report_origin source_place_of(peer_report const& report) const;
     // Whether the report describes routers that are already counted: a router within the sums of its failure domain, or
     // this router's own failure domain, whose routers report singly.
     [[nodiscard]] bool is_already_counted(peer_report const& report) const;
@@ -231,7 +231,7 @@
     void log_ended_backoffs(step_context& step);
     // Ends the attempts at instances that another instance of the same endpoint has replaced.
     void end_attempts_at_replaced_instances(step_context& step);
-    void record_sent_part(part_placed const& placed, step_context const& step);
+    void record_sent_part(cached_part const& placed, step_context const& step);
     void log_evacuation(failure_domain const& domain, std::string_view event, step_context& step);
     void update_ready(step_context& step);
     void stop_if_drained(step_context& step);
@@ -255,10 +255,10 @@
     // Invariant: contains no router whose whole failure domain it contains.
     std::unordered_map<report_source, peer_state> m_peers;
     // The prompt parts sent since the last report, by this router and by its failure domain.
-    std::vector<part_placed> m_sent_parts;
-    std::vector<part_placed> m_domain_sent_parts;
-    told_usage m_reported_own_usage;
-    told_usage m_reported_domain_usage;
+    std::vector<cached_part> m_sent_parts;
+    std::vector<cached_part> m_domain_sent_parts;
+    reported_usage m_reported_own_usage;
+    reported_usage m_reported_domain_usage;
     instant m_domain_reported_at {};
     instant m_deadlines_checked_at {};
     instant m_parts_checked_at {};
--- a/libraries/dispatch/dispatch_suspects.cpp
+++ b/libraries/dispatch/dispatch_suspects.cpp
@@ -47,7 +47,7 @@
 {
     auto const* const endpoint = m_board.find(request.instance);
     // An endpoint that drains or leaves may abort unfinished requests without a crash.
-    if (!request.content || endpoint == nullptr || endpoint->entry.is_draining || endpoint->word.is_leaving)
+    if (!request.content || endpoint == nullptr || endpoint->entry.is_draining || endpoint->announced.is_leaving)
         return;
     m_suspects.record_broken_attempt({ request.endpoint, request.instance, endpoint->entry.address },
         { identity_of(request), request.stamp, step.now });
--- a/libraries/dispatch/endpoints/cold_period.cpp
+++ b/libraries/dispatch/endpoints/cold_period.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A sliding window of sends.
+// Implements the sliding window of sends to a cold endpoint.
 #include "libraries/dispatch/endpoints/cold_period.h"
 
 namespace shedhill::dispatch {
--- a/libraries/dispatch/endpoints/cold_share.h
+++ b/libraries/dispatch/endpoints/cold_share.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// This router's part of what the whole fleet may send to a cold endpoint in a second. No counter is shared: routers are
-// cut off, start with no memory and are added, and the sum must hold all the same. Each goes by the list of routers
-// that it knows, an equal part each; what does not divide goes to the first by rendezvous hashing, so that every router
-// works out the same.
+// Computes this router's share of the requests that the whole fleet may send to a cold endpoint per second. Routers
+// share no counter: they can be partitioned, start without state and be added, and the sum of their shares must still
+// respect the limit. Each router divides the limit equally among the routers that it knows; the remainder goes to the
+// first routers by rendezvous hashing, so that all routers compute the same shares.
 //
-// Only half of the limit is dealt out. So two halves of a fleet that each think the other gone, or an old list and a
-// new one with twice the routers, still add up to no more than the limit; a property test plays 2 to 300 routers.
+// Only half of the limit is distributed. Therefore two halves of a partitioned fleet that each believe the other gone,
+// or an old list and a new one with twice as many routers, together stay within the limit; a property test covers 2 to
+// 300 routers.
 #pragma once
 
 #include "base/identifiers.h"
@@ -18,8 +19,8 @@
 
 namespace shedhill::dispatch {
 
-// The fleet may send `per_second * overage + slack` requests to a cold endpoint in any second; what it bears a second
-// is the pool's.
+// The fleet may send `per_second * overage + slack` requests to a cold endpoint in any second. `per_second` is the rate
+// that the pool's endpoints sustain while cold.
 struct cold_bounds {
     double overage { 1 };
     double slack { 0 };
@@ -32,27 +33,29 @@
     {
     }
 
-    // All routers of the fleet by their addresses, and this one's.
-    void take_routers(std::vector<std::string> routers, std::string const& self, instant now);
+    // Replaces the list of all routers of the fleet. Routers, this one (`self`) included, are identified by their
+    // addresses.
+    void apply_routers(std::vector<std::string> routers, std::string const& self, instant now);
 
-    // How many requests this router may send to the endpoint within a cold_period's window. None while it does not know
-    // the fleet, and within a window of its start: what it sent before that it has forgotten.
+    // Returns how many requests this router may send to the endpoint within the window of a cold_period. Returns 0
+    // while the list of routers is unknown, and for one window after the first list: the router does not know what it
+    // sent before a restart.
     [[nodiscard]] std::uint32_t allowance(endpoint_key endpoint, double per_second, instant now);
 
 private:
-    [[nodiscard]] std::uint32_t own_part(endpoint_key endpoint, std::uint32_t dealt_out) const;
+    [[nodiscard]] std::uint32_t own_quota(endpoint_key endpoint, std::uint32_t distributed) const;
 
     cold_bounds m_bounds;
     std::vector<std::string> m_routers;
     std::string m_self;
-    // The epoch while the fleet is not known.
-    instant m_known_since {};
-    struct known_part {
+    // When the first list of routers was received; the epoch while none has been.
+    instant m_routers_known_since {};
+    struct router_quota {
         double per_second { 0 };
-        std::uint32_t part { 0 };
+        std::uint32_t requests { 0 };
     };
-    // Worked out from m_routers, by endpoint.
-    std::unordered_map<endpoint_key, known_part> m_known_parts;
+    // Cache of the shares derived from m_routers, by endpoint.
+    std::unordered_map<endpoint_key, router_quota> m_quotas;
 };
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/endpoints/endpoint_board.cpp
+++ b/libraries/dispatch/endpoints/endpoint_board.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The list, the loads and what first events show. The choice stands in endpoint_choice.cpp.
+// Implements the list, the loads and learning from first events. endpoint_choice.cpp implements the choice.
 #include "libraries/dispatch/endpoints/endpoint_board.h"
 
 #include "base/hash.h"
 #include "libraries/dispatch/endpoints/pool_scarcity.h"
-#include "libraries/dispatch/engines/engine_room.h"
+#include "libraries/dispatch/engines/engine_headroom.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,13 +16,14 @@
 
 namespace {
 
-// A router that has just come up is told of parts that were used within this time.
-constexpr milliseconds recent_placement { 7000 };
+// A router that has just started receives the prompt parts that were used within this time.
+constexpr milliseconds recent_use { 7000 };
 
-// A whole report names each endpoint where something is under way, one of changes what is not as it was told.
-bool is_worth_telling(told_load const& told, engine_work const& work, report_scope scope)
+// Whether the endpoint belongs in the report. A whole report lists each endpoint with work; a report of changes lists
+// those that differ from the last report.
+bool needs_report(reported_load const& reported, engine_work const& work, report_scope scope)
 {
-    bool const has_changed = !told.untold.is_empty() || work != told.work;
+    bool const has_changed = !reported.unsent_sample.is_empty() || work != reported.work;
     return scope == report_scope::whole ? work.running > 0 || has_changed : has_changed;
 }
 
@@ -33,7 +34,7 @@
 
 } // namespace
 
-void endpoint_board::take_pools(std::vector<pool_settings> const& pools, token_count tokens_per_second)
+void endpoint_board::apply_pools(std::vector<pool_settings> const& pools, token_count tokens_per_second)
 {
     m_cold_pools.clear();
     m_engines.clear();
@@ -41,23 +42,23 @@
     for (auto const& pool : pools) {
         m_cold_pools[pool.name] = { pool.cold_requests_per_second, pool.cold_time };
         if (pool.is_engine())
-            m_engines[pool.name] = { pool.tokens_per_event, pool.engine_memory };
+            m_engines[pool.name] = { pool.tokens_per_event, pool.engine_kv_capacity };
     }
-    expect_paces();
+    update_rate_priors();
 }
 
-void endpoint_board::expect_paces()
+void endpoint_board::update_rate_priors()
 {
     std::size_t engines = 0;
     for (auto const& [pool, engine] : m_engines) {
-        if (auto const found = m_open.find(pool); found != m_open.end())
+        if (auto const found = m_available.find(pool); found != m_available.end())
             engines += found->second.size();
     }
     for (auto const& [pool, engine] : m_engines)
-        pace_of(pool).expect(m_tokens_per_second, engines, engine.tokens_per_event);
+        pool_rate_of(pool).set_prior(m_tokens_per_second, engines, engine.tokens_per_event);
 }
 
-pool_pace& endpoint_board::pace_of(pool_name const& pool) { return m_paces[pool]; }
+pool_prefill_rate& endpoint_board::pool_rate_of(pool_name const& pool) { return m_pool_rates[pool]; }
 
 endpoint_board::cold_pool const& endpoint_board::cold_pool_of(pool_name const& pool) const
 {
@@ -66,7 +67,7 @@
     return found == m_cold_pools.end() ? unbounded : found->second;
 }
 
-bool endpoint_board::is_held_back_cold(endpoint_state& state, instant now)
+bool endpoint_board::is_cold_limited(endpoint_state& state, instant now)
 {
     if (!state.cold.is_cold(now))
         return false;
@@ -74,47 +75,50 @@
     return per_second > 0 && !state.cold.may_send(m_cold_share.allowance(state.key, per_second, now), now);
 }
 
-engine_run endpoint_board::note_attempt(endpoint_choice const& chosen, bool is_engine, instant now)
+engine_run endpoint_board::record_attempt(endpoint_choice const& chosen, bool is_engine, instant now)
 {
     auto& endpoint = *chosen.endpoint;
-    endpoint.answer_time.note_sent(now);
-    endpoint.word.rest.note_sent(now);
+    endpoint.answer_time.record_sent(now);
+    endpoint.announced.backoff.record_sent(now);
     if (endpoint.cold.is_cold(now))
-        endpoint.cold.note_sent(now);
+        endpoint.cold.record_sent(now);
     engine_run run;
     if (is_engine) {
         auto const& pool = endpoint.entry.pool;
-        // By what was told, as admission goes: a pace that is learnt beside what is only likely lets in too much.
-        run = endpoint.pace.begin(endpoint.all_unread(), chosen.unkept, chosen.held, pace_of(pool));
+        // Uses the reported work, as admission does: a rate learned from work that is only likely would admit too much.
+        run = endpoint.prefill_rate.start_run(
+            endpoint.total_pending_prefill(), chosen.uncached_tokens, chosen.kv_tokens, pool_rate_of(pool));
         run.sent_at = now;
     }
     endpoint.own += run.work();
     return run;
 }
 
-token_count endpoint_board::unread_before(endpoint_state const& engine, unseen_work const& unseen) const
+token_count endpoint_board::expected_pending_prefill(
+    endpoint_state const& engine, unreported_work const& unreported) const
 {
-    return engine.all_unread() + unseen.tokens(engine.others.running, engine.neighbours.running, m_news_age);
+    return engine.total_pending_prefill()
+        + unreported.tokens(engine.others.running, engine.domain_peers.running, m_report_age);
 }
 
-void endpoint_board::note_end(endpoint_state& endpoint, engine_run const& run, run_end end, instant now)
+void endpoint_board::record_end(endpoint_state& endpoint, engine_run const& run, run_end end, instant now)
 {
     endpoint.own -= run.work();
     if (run.sent_at != instant {})
-        m_unseen[endpoint.entry.pool].note_stay(run.unkept, now - run.sent_at, now);
-    if (end == run_end::done || run.work().unread == 0)
+        m_unreported[endpoint.entry.pool].record_attempt_duration(run.uncached_tokens, now - run.sent_at, now);
+    if (end == run_end::done || run.work().pending_prefill == 0)
         return;
-    auto const foreseen = milliseconds(static_cast<std::int64_t>(run.forecast.total_ms()));
-    endpoint.failed.push_back({ run.work().unread, now + foreseen });
-    endpoint.own.unread += run.work().unread;
+    auto const expected = milliseconds(static_cast<std::int64_t>(run.estimate.total_ms()));
+    endpoint.failed_prefills.push_back({ run.work().pending_prefill, now + expected });
+    endpoint.own.pending_prefill += run.work().pending_prefill;
 }
 
 void endpoint_board::forget_failed(endpoint_state& endpoint, instant now)
 {
-    std::erase_if(endpoint.failed, [&](failed_reading const& failed) {
+    std::erase_if(endpoint.failed_prefills, [&](failed_prefill const& failed) {
         if (now < failed.until)
             return false;
-        endpoint.own.unread -= std::min(endpoint.own.unread, failed.tokens);
+        endpoint.own.pending_prefill -= std::min(endpoint.own.pending_prefill, failed.tokens);
         return true;
     });
 }
@@ -122,13 +126,13 @@
 std::size_t endpoint_board::cold_endpoints(instant now) const
 {
     return static_cast<std::size_t>(
-        std::ranges::count_if(m_endpoints, [now](auto const& known) { return known.second->cold.is_cold(now); }));
+        std::ranges::count_if(m_endpoints, [now](auto const& entry) { return entry.second->cold.is_cold(now); }));
 }
 
-void endpoint_board::take_list(std::vector<endpoint_entry> const& entries, instant now)
+void endpoint_board::apply_list(std::vector<endpoint_entry> const& entries, instant now)
 {
-    m_open.clear();
-    m_held_back.clear();
+    m_available.clear();
+    m_evacuated_endpoints.clear();
     std::unordered_set<endpoint_key> listed;
     for (auto const& entry : entries) {
         auto const key = key_of(entry.name, entry.started_at_ms);
@@ -138,34 +142,34 @@
         if (is_new) {
             state = std::make_unique<endpoint_state>();
             state->key = key;
-            recall_word(*state);
-            state->answer_time.begin_with(entry.slots);
+            restore_announced_state(*state);
+            state->answer_time.initialize(entry.slots);
             state->preference = unit_share(rendezvous_weight(m_self, entry.name.value()));
-            state->pace.update(pace_of(entry.pool), now);
+            state->prefill_rate.update(pool_rate_of(entry.pool), now);
         }
         m_by_name[entry.name] = state.get();
         if (is_new || entry.cold_time_left != state->entry.cold_time_left)
-            state->cold.note_told(entry.cold_time_left, now);
-        // What comes up while this router looks on has just started, whatever its first row tells.
+            state->cold.set_announced(entry.cold_time_left, now);
+        // An endpoint that appears while this router is running has just started, whatever its first row says.
         if (is_new && m_has_list)
-            state->cold.note_unknown(cold_pool_of(entry.pool).usual, now);
+            state->cold.assume_cold(cold_pool_of(entry.pool).cold_time, now);
         state->entry = entry;
         auto const region = m_regions.find(entry.domain);
         state->region = region == m_regions.end() ? region_name() : region->second;
-        if (!entry.is_draining && !state->word.is_leaving)
-            open(*state);
+        if (!entry.is_draining && !state->announced.is_leaving)
+            add_to_pool(*state);
     }
     m_has_list = true;
-    std::erase_if(m_endpoints, [&](auto const& known) {
-        bool const is_gone = !listed.contains(known.first) && known.second->own.running == 0;
+    std::erase_if(m_endpoints, [&](auto const& entry) {
+        bool const is_gone = !listed.contains(entry.first) && entry.second->own.running == 0;
         if (is_gone) {
-            keep_word(*known.second, now);
-            forget_name(*known.second);
+            retain_announced_state(*entry.second, now);
+            forget_name(*entry.second);
         }
         return is_gone;
     });
-    forget_old_words(now);
-    expect_paces();
+    expire_announced_states(now);
+    update_rate_priors();
 }
 
 void endpoint_board::forget_name(endpoint_state const& state)
@@ -175,9 +179,9 @@
         m_by_name.erase(found);
 }
 
-void endpoint_board::open(endpoint_state& state)
+void endpoint_board::add_to_pool(endpoint_state& state)
 {
-    auto& endpoints = m_evacuated.contains(state.entry.domain) ? m_held_back : m_open;
+    auto& endpoints = m_evacuated.contains(state.entry.domain) ? m_evacuated_endpoints : m_available;
     endpoints[state.entry.pool].push_back(&state);
 }
 
@@ -186,14 +190,14 @@
     auto const before = std::exchange(m_evacuated, { domains.begin(), domains.end() });
     for (auto& [name, state] : m_endpoints) {
         if (before.contains(state->entry.domain) && !m_evacuated.contains(state->entry.domain))
-            state->cold.note_unknown(cold_pool_of(state->entry.pool).usual, now);
+            state->cold.assume_cold(cold_pool_of(state->entry.pool).cold_time, now);
     }
-    auto const open_before = std::exchange(m_open, {});
-    auto const held_before = std::exchange(m_held_back, {});
-    for (auto const* opened : { &open_before, &held_before }) {
-        for (auto const& [pool, endpoints] : *opened) {
+    auto const available_before = std::exchange(m_available, {});
+    auto const evacuated_before = std::exchange(m_evacuated_endpoints, {});
+    for (auto const* pools : { &available_before, &evacuated_before }) {
+        for (auto const& [pool, endpoints] : *pools) {
             for (auto* state : endpoints)
-                open(*state);
+                add_to_pool(*state);
         }
     }
 }
@@ -201,13 +205,13 @@
 void endpoint_board::retire(endpoint_name const& name)
 {
     if (auto* const state = find(name))
-        close(*state);
+        remove_from_pool(*state);
 }
 
-void endpoint_board::close(endpoint_state& state)
+void endpoint_board::remove_from_pool(endpoint_state& state)
 {
-    std::erase(m_open[state.entry.pool], &state);
-    std::erase(m_held_back[state.entry.pool], &state);
+    std::erase(m_available[state.entry.pool], &state);
+    std::erase(m_evacuated_endpoints[state.entry.pool], &state);
 }
 
 endpoint_state* endpoint_board::find(endpoint_name const& name)
@@ -224,63 +228,63 @@
 
 bool endpoint_board::has_endpoints(pool_name const& pool, region_bound const& regions) const
 {
-    auto const found = m_open.find(pool);
-    return found != m_open.end() && has_any_in(found->second, regions);
+    auto const found = m_available.find(pool);
+    return found != m_available.end() && has_any_in(found->second, regions);
 }
 
 std::size_t endpoint_board::endpoints_in(failure_domain const& domain) const
 {
     return static_cast<std::size_t>(
-        std::ranges::count_if(m_endpoints, [&](auto const& known) { return known.second->entry.domain == domain; }));
+        std::ranges::count_if(m_endpoints, [&](auto const& entry) { return entry.second->entry.domain == domain; }));
 }
 
 bool endpoint_board::is_evacuated(pool_name const& pool, region_bound const& regions) const
 {
-    auto const found = m_held_back.find(pool);
-    return found != m_held_back.end() && has_any_in(found->second, regions) && !has_endpoints(pool, regions);
+    auto const found = m_evacuated_endpoints.find(pool);
+    return found != m_evacuated_endpoints.end() && has_any_in(found->second, regions) && !has_endpoints(pool, regions);
 }
 
-void endpoint_board::note_seen(endpoint_state& endpoint, reading_evidence const& seen, instant now)
+void endpoint_board::record_sample(endpoint_state& endpoint, prefill_sample const& sample, instant now)
 {
-    auto& pool = pace_of(endpoint.entry.pool);
-    pool.add(seen, now);
-    endpoint.pace.add(seen, now);
-    endpoint.own_told.untold += seen;
-    endpoint.domain_told.untold += seen;
+    auto& pool = pool_rate_of(endpoint.entry.pool);
+    pool.add(sample, now);
+    endpoint.prefill_rate.add(sample, now);
+    endpoint.own_reported.unsent_sample += sample;
+    endpoint.domain_reported.unsent_sample += sample;
 }
 
-void endpoint_board::note_begun(endpoint_state& endpoint, engine_run& run)
+void endpoint_board::record_prefill_end(endpoint_state& endpoint, engine_run& run)
 {
-    endpoint.own.unread -= std::min(endpoint.own.unread, run.unkept);
+    endpoint.own.pending_prefill -= std::min(endpoint.own.pending_prefill, run.uncached_tokens);
     run.has_first_event = true;
 }
 
-void endpoint_board::note_first_event(endpoint_state& endpoint, engine_run& run, double took_ms, instant now)
+void endpoint_board::record_first_event(endpoint_state& endpoint, engine_run& run, double took_ms, instant now)
 {
-    note_begun(endpoint, run);
-    note_seen(endpoint, engine_pace::seen_in(run, took_ms), now);
-    endpoint.pace.update(pace_of(endpoint.entry.pool), now);
-    auto const& foreseen = run.forecast;
-    auto const bare_part = 1 - foreseen.reading_part();
-    auto const error = 1 + (took_ms - foreseen.total_ms()) * bare_part / std::max(foreseen.bare_ms, 1.0);
-    auto& pool = pace_of(endpoint.entry.pool);
-    pool.note_error(took_ms - foreseen.total_ms());
-    pool.note_bare_first_event(pool.bare_first_event_ms() * error, bare_part);
+    record_prefill_end(endpoint, run);
+    record_sample(endpoint, engine_prefill_rate::sample_of_first_event(run, took_ms), now);
+    endpoint.prefill_rate.update(pool_rate_of(endpoint.entry.pool), now);
+    auto const& expected = run.estimate;
+    auto const base_fraction = 1 - expected.prefill_fraction();
+    auto const error = 1 + (took_ms - expected.total_ms()) * base_fraction / std::max(expected.base_ms, 1.0);
+    auto& pool = pool_rate_of(endpoint.entry.pool);
+    pool.record_error(took_ms - expected.total_ms());
+    pool.record_base_latency(pool.base_latency_ms() * error, base_fraction);
 }
 
-void endpoint_board::note_overdue(endpoint_state& endpoint, engine_run const& run, double late_ms, instant now)
+void endpoint_board::record_overdue(endpoint_state& endpoint, engine_run const& run, double late_ms, instant now)
 {
-    note_seen(endpoint, engine_pace::seen_in_overdue(run, late_ms), now);
+    record_sample(endpoint, engine_prefill_rate::sample_of_overdue(run, late_ms), now);
 }
 
-void endpoint_board::update_paces(instant now)
+void endpoint_board::update_rates(instant now)
 {
-    for (auto& [name, pool] : m_paces)
+    for (auto& [name, pool] : m_pool_rates)
         pool.update(now);
     for (auto& [key, state] : m_endpoints) {
         forget_failed(*state, now);
-        if (auto const pool = m_paces.find(state->entry.pool); pool != m_paces.end())
-            state->pace.update(pool->second, now);
+        if (auto const pool = m_pool_rates.find(state->entry.pool); pool != m_pool_rates.end())
+            state->prefill_rate.update(pool->second, now);
     }
     update_scarcity(now);
 }
@@ -289,17 +293,17 @@
 {
     m_scarcity.clear();
     for (auto const& [pool, engine] : m_engines) {
-        pool_scarcity use(m_policy);
-        if (auto const open = m_open.find(pool); open != m_open.end()) {
-            bool const uses_ejected = ignores_ejection(open->second, now);
-            for (auto const* state : open->second) {
-                if (state->word.rest.is_resting(now) || (state->health.is_ejected() && !uses_ejected))
+        pool_scarcity usage(m_policy);
+        if (auto const available = m_available.find(pool); available != m_available.end()) {
+            bool const includes_ejected = ignores_ejection(available->second, now);
+            for (auto const* state : available->second) {
+                if (state->announced.backoff.is_backing_off(now) || (state->health.is_ejected() && !includes_ejected))
                     continue;
-                use.add({ state->entry.slots, engine.memory }, state->own + state->others,
-                    state->pace.forecast(state->all_unread(), 0, pace_of(pool)).before_ms);
+                usage.add({ state->entry.slots, engine.kv_capacity }, state->own + state->others,
+                    state->prefill_rate.estimate(state->total_pending_prefill(), 0, pool_rate_of(pool)).queue_ms);
             }
         }
-        m_scarcity[pool] = use.scarcity();
+        m_scarcity[pool] = usage.scarcity();
     }
 }
 
@@ -311,111 +315,111 @@
 
 std::vector<engine_view> endpoint_board::engines() const
 {
-    std::vector<engine_view> seen;
+    std::vector<engine_view> views;
     for (auto const& [name, state] : m_by_name) {
         auto const engine = m_engines.find(state->entry.pool);
         if (engine == m_engines.end())
             continue;
-        seen.push_back({ name, state->entry.pool, state->entry.domain, state->own + state->others,
-            engine->second.memory, state->pace.tokens_per_ms() });
+        views.push_back({ name, state->entry.pool, state->entry.domain, state->own + state->others,
+            engine->second.kv_capacity, state->prefill_rate.tokens_per_ms() });
     }
-    std::ranges::sort(seen, {}, &engine_view::name);
-    return seen;
+    std::ranges::sort(views, {}, &engine_view::name);
+    return views;
 }
 
-std::vector<endpoint_board::pace_change> endpoint_board::take_pace_changes()
+std::vector<endpoint_board::rate_change> endpoint_board::take_rate_changes()
 {
-    // A smaller change is the luck of a second.
-    constexpr double material = 2;
-    std::vector<pace_change> changes;
+    // Smaller changes are random variation within a second.
+    constexpr double min_factor = 2;
+    std::vector<rate_change> changes;
     for (auto const& [name, state] : m_by_name) {
         if (!m_engines.contains(state->entry.pool))
             continue;
-        auto const now = state->pace.tokens_per_ms();
-        auto& told = state->told_tokens_per_ms;
-        if (told == 0)
-            told = now;
-        if (now < told * material && now * material > told)
+        auto const now = state->prefill_rate.tokens_per_ms();
+        auto& logged = state->logged_tokens_per_ms;
+        if (logged == 0)
+            logged = now;
+        if (now < logged * min_factor && now * min_factor > logged)
             continue;
-        changes.push_back({ name, std::exchange(told, now), now });
+        changes.push_back({ name, std::exchange(logged, now), now });
     }
-    // Where only some are told, the greatest.
+    // Largest change first, for callers that log only some of them.
     std::ranges::sort(changes, std::greater {},
-        [](pace_change const& change) { return std::abs(std::log(change.now / change.before)); });
+        [](rate_change const& change) { return std::abs(std::log(change.now / change.before)); });
     return changes;
 }
 
 bool endpoint_board::is_too_large(pool_name const& pool, token_count prompt) const
 {
     auto const engine = m_engines.find(pool);
-    return engine != m_engines.end() && engine_room { engine->second.memory, 0 }.is_too_small_for(prompt);
+    return engine != m_engines.end() && engine_headroom { engine->second.kv_capacity, 0 }.is_too_small_for(prompt);
 }
 
-void endpoint_board::count_work(told_work& told, endpoint_key endpoint, engine_work const& work)
+void endpoint_board::replace_work(reported_work& reported, endpoint_key endpoint, engine_work const& work)
 {
-    auto const before = std::exchange(told.at[endpoint], work);
-    // The endpoint may have gone and come since.
+    auto const before = std::exchange(reported.by_endpoint[endpoint], work);
+    // The endpoint may have been removed since.
     auto* const state = find(endpoint);
     if (state == nullptr)
         return;
     state->others -= before;
     state->others += work;
-    if (told.place != source_place::own_domain)
+    if (reported.origin != report_origin::own_domain)
         return;
-    state->neighbours -= before;
-    state->neighbours += work;
+    state->domain_peers -= before;
+    state->domain_peers += work;
 }
 
-void endpoint_board::take_report(peer_report const& report, source_place place, instant now)
+void endpoint_board::apply_report(peer_report const& report, report_origin origin, instant now)
 {
     auto const source = report.source();
     if (report.scope == report_scope::whole)
         forget(source);
-    auto& told = m_told_work.try_emplace(source, told_work { place, {}, {} }).first->second;
-    if (told.told_at != instant {})
-        m_news_age.note_gap(now - told.told_at);
-    told.told_at = now;
+    auto& reported = m_reported_work.try_emplace(source, reported_work { origin, {}, {} }).first->second;
+    if (reported.received_at != instant {})
+        m_report_age.record_gap(now - reported.received_at);
+    reported.received_at = now;
     for (auto const& load : report.loads) {
         auto* const state = find(load.endpoint);
         if (state == nullptr)
             continue;
-        count_work(told, load.endpoint, load.work);
+        replace_work(reported, load.endpoint, load.work);
         if (load.prefill.is_empty())
             continue;
-        auto& pool = pace_of(state->entry.pool);
+        auto& pool = pool_rate_of(state->entry.pool);
         pool.add(load.prefill, now);
-        state->pace.add(load.prefill, now);
-        if (place == source_place::own_domain)
-            state->domain_told.untold += load.prefill;
+        state->prefill_rate.add(load.prefill, now);
+        if (origin == report_origin::own_domain)
+            state->domain_reported.unsent_sample += load.prefill;
     }
     for (auto const& placed : report.parts) {
         if (auto* state = find(placed.endpoint))
-            state->places.note(placed.part, now);
+            state->prompt_cache.record_use(placed.part, now);
     }
 }
 
 void endpoint_board::forget(report_source const& source)
 {
-    auto const found = m_told_work.find(source);
-    if (found == m_told_work.end())
+    auto const found = m_reported_work.find(source);
+    if (found == m_reported_work.end())
         return;
-    auto const endpoints = found->second.at;
+    auto const endpoints = found->second.by_endpoint;
     for (auto const& [endpoint, work] : endpoints)
-        count_work(found->second, endpoint, {});
-    m_told_work.erase(found);
+        replace_work(found->second, endpoint, {});
+    m_reported_work.erase(found);
 }
 
 void endpoint_board::forget_old_parts(instant now)
 {
     for (auto& [name, state] : m_endpoints)
-        state->places.forget_unused_since(now - m_policy.keeping_time);
+        state->prompt_cache.forget_unused_since(now - m_policy.keeping_time);
 }
 
-std::vector<part_placed> endpoint_board::recent_parts(instant now) const
+std::vector<cached_part> endpoint_board::recent_parts(instant now) const
 {
-    std::vector<part_placed> placed;
+    std::vector<cached_part> placed;
     for (auto const& [name, state] : m_endpoints) {
-        for (auto const part : state->places.used_since(now - recent_placement))
+        for (auto const part : state->prompt_cache.used_since(now - recent_use))
             placed.push_back({ state->key, part });
     }
     return placed;
@@ -425,9 +429,9 @@
 {
     std::vector<endpoint_load> loads;
     for (auto const& [key, state] : m_endpoints) {
-        auto const before = std::exchange(state->own_told, { state->own, {} });
-        if (is_worth_telling(before, state->own, scope))
-            loads.push_back({ key, state->own, before.untold });
+        auto const before = std::exchange(state->own_reported, { state->own, {} });
+        if (needs_report(before, state->own, scope))
+            loads.push_back({ key, state->own, before.unsent_sample });
     }
     return loads;
 }
@@ -436,10 +440,10 @@
 {
     std::vector<endpoint_load> loads;
     for (auto const& [key, state] : m_endpoints) {
-        auto const work = state->own + state->neighbours;
-        auto const before = std::exchange(state->domain_told, { work, {} });
-        if (is_worth_telling(before, work, scope))
-            loads.push_back({ key, work, before.untold });
+        auto const work = state->own + state->domain_peers;
+        auto const before = std::exchange(state->domain_reported, { work, {} });
+        if (needs_report(before, work, scope))
+            loads.push_back({ key, work, before.unsent_sample });
     }
     return loads;
 }
@@ -447,7 +451,7 @@
 void endpoint_board::skip_domain_loads()
 {
     for (auto const& [key, state] : m_endpoints)
-        state->domain_told = {};
+        state->domain_reported = {};
 }
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/endpoints/endpoint_board.h
+++ b/libraries/dispatch/endpoints/endpoint_board.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The endpoints of all pools: what is listed, what runs there by this router and by others, how they fare, and which of
-// them suits a request best.
+// Keeps the state of all endpoints of all pools: the list, the work of this router and of others at each, their health
+// and learned rates. Chooses the endpoint that suits a request best.
 #pragma once
 
 #include "base/hash.h"
@@ -8,13 +8,13 @@
 #include "libraries/dispatch/admission/team_ledger.h"
 #include "libraries/dispatch/endpoints/cold_period.h"
 #include "libraries/dispatch/endpoints/cold_share.h"
+#include "libraries/dispatch/endpoints/endpoint_backoff.h"
 #include "libraries/dispatch/endpoints/endpoint_health.h"
 #include "libraries/dispatch/endpoints/endpoint_view.h"
-#include "libraries/dispatch/endpoints/prompt_places.h"
-#include "libraries/dispatch/endpoints/rest_period.h"
-#include "libraries/dispatch/engines/engine_pace.h"
+#include "libraries/dispatch/endpoints/prompt_cache_index.h"
+#include "libraries/dispatch/engines/engine_prefill_rate.h"
 #include "libraries/dispatch/engines/engine_view.h"
-#include "libraries/dispatch/engines/unseen_work.h"
+#include "libraries/dispatch/engines/unreported_work.h"
 #include "libraries/dispatch/events.h"
 #include "libraries/dispatch/policy.h"
 #include "libraries/dispatch/region_bound.h"
@@ -27,104 +27,107 @@
 
 namespace shedhill::dispatch {
 
-// What the others were told of one endpoint, and what was seen there since.
-struct told_load {
+// The state of one endpoint that was last reported to other routers, and the prefill sample since that report.
+struct reported_load {
     engine_work work;
-    reading_evidence untold;
+    prefill_sample unsent_sample;
 };
 
-// Prompt tokens of an attempt that failed, and until when they count as unread.
-struct failed_reading {
+// Prompt tokens of an attempt that failed before its first event; they count as pending prefill until `until`.
+struct failed_prefill {
     token_count tokens { 0 };
     instant until {};
 };
 
-// What a start told of itself in answers.
-struct endpoint_word {
-    rest_period rest;
+// What an endpoint instance announced about itself in answers.
+struct announced_state {
+    endpoint_backoff backoff;
     bool is_leaving { false };
 };
 
-// What a notice changed.
+// Which states a notice started.
 struct notice_change {
-    bool has_begun_rest { false };
-    bool has_begun_leaving { false };
+    bool has_started_backoff { false };
+    bool has_started_leaving { false };
 };
 
+// What this router knows about one endpoint instance.
 struct endpoint_state {
     endpoint_entry entry;
-    // Of its failure domain; empty where that is not known.
+    // The region of its failure domain; empty where that is unknown.
     region_name region;
-    // Of its start under its name.
+    // Identifies the process instance behind this endpoint name.
     endpoint_key key;
     endpoint_health health;
-    endpoint_word word;
+    announced_state announced;
     cold_period cold;
-    prompt_places places;
-    // What is under way there: of this router, of all others as they last told, and, a part of that, of the other
-    // routers of this failure domain.
+    prompt_cache_index prompt_cache;
+    // Work at the endpoint: of this router; of all other routers, as last reported; and, included in `others`, of the
+    // other routers of this failure domain.
     engine_work own;
     engine_work others;
-    engine_work neighbours;
-    // What was last told of this router's own part, and of that of its failure domain.
-    told_load own_told;
-    told_load domain_told;
-    // Of a model engine.
-    engine_pace pace;
-    // As it was last told to operators.
-    double told_tokens_per_ms { 0 };
-    // A part of the own unread tokens.
-    std::vector<failed_reading> failed;
-    // Of a plain service.
+    engine_work domain_peers;
+    // What was last reported of this router's own work, and of its failure domain's.
+    reported_load own_reported;
+    reported_load domain_reported;
+    // Learned prefill rate; only used for model engines.
+    engine_prefill_rate prefill_rate;
+    // The prefill rate that was last logged, in tokens per millisecond; 0 before the first check.
+    double logged_tokens_per_ms { 0 };
+    // Prefill of failed attempts; included in own.pending_prefill.
+    std::vector<failed_prefill> failed_prefills;
+    // Concurrency limit; only used for plain services.
     answer_time_limit answer_time;
 
-    // Of this router for this endpoint, 0 for the most preferred to 1.
+    // This router's preference for the endpoint, from 0 (most preferred) to 1.
     double preference { 0 };
 
-    [[nodiscard]] std::uint32_t all_running() const { return own.running + others.running; }
-    [[nodiscard]] token_count all_unread() const { return own.unread + others.unread; }
-    [[nodiscard]] token_count all_held() const { return own.held + others.held; }
+    [[nodiscard]] std::uint32_t total_running() const { return own.running + others.running; }
+    [[nodiscard]] token_count total_pending_prefill() const { return own.pending_prefill + others.pending_prefill; }
+    [[nodiscard]] token_count total_kv_tokens() const { return own.kv_tokens + others.kv_tokens; }
 };
 
-// What a choice is weighed on, for the log and for tests.
+// The chosen endpoint and the estimates behind the choice, for the log and for tests.
 struct endpoint_choice {
     endpoint_state* endpoint { nullptr };
-    token_count unkept { 0 };
-    // Foreseen time to the first event or the answer.
+    token_count uncached_tokens { 0 };
+    // Estimated time to the first event, or to the answer of a plain service.
     double expected_ms { 0 };
-    // A place is free, and the answer would begin within the objective.
+    // Whether the endpoint has free capacity and the answer is estimated to start within the objective.
     bool is_in_time { false };
-    // Tokens that would be read anew although another endpoint is thought to keep them.
-    token_count lost { 0 };
-    // Tokens of an engine's memory that it would take until its end.
-    token_count held { 0 };
+    // Tokens that this endpoint would have to prefill although another endpoint is estimated to have them cached.
+    token_count redundant_prefill { 0 };
+    // KV cache tokens that the request occupies until it ends.
+    token_count kv_tokens { 0 };
 };
 
+// Describes the request that choose() selects an endpoint for, and the terms of its admission.
 struct choice_request {
     pool_name pool;
     request_cost const* cost { nullptr };
-    // Endpoints that this request was sent to before.
+    // Endpoints that this request was already sent to.
     std::vector<endpoint_name> const* excluded { nullptr };
-    // Where it may be served; none for anywhere.
+    // Regions in which the request may be served; null for any.
     region_bound const* regions { nullptr };
-    // What is left of the objective.
+    // Time left of the objective.
     double time_left_ms { 0 };
-    // The part of an endpoint's places that may be taken for this request to be let in.
-    double most_load { 1 };
-    // The part of that time within which an engine that has prompts to read must be foreseen to begin it.
-    double queueing_part { 1 };
+    // Fraction of an endpoint's slots that may be in use for this request to be admitted.
+    double max_load { 1 };
+    // Fraction of time_left_ms within which an engine with pending prefill must be estimated to start the answer.
+    double queueing_fraction { 1 };
     bool is_engine { false };
-    // Filled in by the board, for engines: the pool's pace, what others have sent there unseen, how scarce the pool is,
-    // the memory of each engine, and what the request takes of it.
-    pool_pace const* pace { nullptr };
-    unseen_work const* unseen { nullptr };
+    // The board fills in the following members for engines: the pool's prefill rate, the estimate of work not yet
+    // reported by others, the scarcity of the pool, the KV capacity of each engine, and the KV tokens that the request
+    // needs.
+    pool_prefill_rate const* pool_rate { nullptr };
+    unreported_work const* unreported { nullptr };
     double scarcity { 1 };
-    token_count memory { 0 };
-    token_count held { 0 };
-    // May be the one that probes an ejected endpoint.
+    token_count kv_capacity { 0 };
+    token_count kv_tokens { 0 };
+    // The request may be used to probe an ejected endpoint.
     bool may_probe { false };
-    // Of a request that may crash its endpoint: each such request prefers endpoints of its own, so that the next crash
-    // tells them apart. 0 for others.
+    // Identifies the content of a request that may crash its endpoint; 0 for other requests. Each such request prefers
+    // different endpoints, so that the next crash shows which request caused it.
     std::uint64_t suspect { 0 };
 };
 
@@ -140,159 +143,175 @@
     {
     }
 
-    // Replaces the list. Endpoints that are gone stay known while attempts run there, but get nothing new.
-    void take_list(std::vector<endpoint_entry> const& entries, instant now);
-    // What a cold endpoint of each pool bears, and what all endpoints together produce; 0 where it is not told.
-    void take_pools(std::vector<pool_settings> const& pools, token_count tokens_per_second);
-    void take_routers(routers_listed const& listed, instant now)
+    // Replaces the list of endpoints. Endpoints that are no longer listed are kept while attempts run there, but
+    // receive no new requests.
+    void apply_list(std::vector<endpoint_entry> const& entries, instant now);
+    // Sets the configured rate of cold endpoints of each pool, and the throughput of all endpoints together; 0 where
+    // the configuration does not state it.
+    void apply_pools(std::vector<pool_settings> const& pools, token_count tokens_per_second);
+    void apply_routers(routers_listed const& listed, instant now)
     {
-        m_cold_share.take_routers(listed.routers, listed.self, now);
+        m_cold_share.apply_routers(listed.routers, listed.self, now);
     }
-    // Endpoints of these failure domains get nothing new until a later call leaves their domain out. They count as cold
-    // then: they were without work.
+    // Stops new requests to endpoints of these failure domains, until a later call omits the domain. Endpoints of a
+    // domain that is released count as cold, because they were without work.
     void set_evacuated(std::vector<failure_domain> const& domains, instant now);
-    // The address answers for another endpoint: nothing more is sent there until a list shows it anew.
+    // Stops new requests to the endpoint until a list contains it again: another endpoint answers at its address.
     void retire(endpoint_name const& name);
-    // What a start told of itself. It gets nothing new for as long as that holds: by whatever way a request comes to an
-    // endpoint, it is chosen by choose().
-    notice_change take_notice(endpoint_key instance, endpoint_notice const& notice, instant now);
-    // Endpoints whose rest has ended since the last call.
-    [[nodiscard]] std::vector<endpoint_name> take_ended_rests(instant now);
-    // Until the first of the pool's endpoints in these regions has rested; none where one of them does not rest.
-    [[nodiscard]] std::optional<milliseconds> all_rest_for(
+    // Applies what an endpoint instance announced about itself. The instance receives no new requests for as long as
+    // the announcement is valid: whatever the reason for sending a request, choose() selects its endpoint.
+    notice_change apply_notice(endpoint_key instance, endpoint_notice const& notice, instant now);
+    // Returns the endpoints whose back-off has ended since the last call.
+    [[nodiscard]] std::vector<endpoint_name> take_ended_backoffs(instant now);
+    // Returns the time until the first of the pool's endpoints in these regions ends its back-off; nullopt if one of
+    // them is not backing off.
+    [[nodiscard]] std::optional<milliseconds> all_backed_off_for(
         pool_name const& pool, region_bound const& regions, instant now) const;
-    // Endpoints that get no new work, or less, with each reason.
+    // Returns the endpoints that receive no new work or less than others, with one entry for each reason.
     [[nodiscard]] std::vector<held_endpoint> held_endpoints(instant now) const;
 
     [[nodiscard]] endpoint_state* find(endpoint_name const& name);
     [[nodiscard]] endpoint_state* find(endpoint_key key);
-    // The pool has endpoints in these regions that may get new work.
+    // Whether the pool has endpoints in these regions that may receive new requests.
     [[nodiscard]] bool has_endpoints(pool_name const& pool, region_bound const& regions = {}) const;
-    // The pool has endpoints in these regions, but all of them are in evacuated failure domains.
+    // Whether the pool has endpoints in these regions, but all of them are in evacuated failure domains.
     [[nodiscard]] bool is_evacuated(pool_name const& pool, region_bound const& regions = {}) const;
     [[nodiscard]] std::set<failure_domain> const& evacuated() const { return m_evacuated; }
     [[nodiscard]] std::size_t listed_endpoints() const { return m_by_name.size(); }
     [[nodiscard]] std::size_t endpoints_in(failure_domain const& domain) const;
-    // The best endpoint; none if all are excluded, gone or ejected.
-    [[nodiscard]] endpoint_choice choose(choice_request wanted, instant now);
-    // Places of the pool's endpoints that are in use, and how many are taken.
+    // Returns the best endpoint for the request; its pointer is null if all are excluded, unlisted or ejected.
+    [[nodiscard]] endpoint_choice choose(choice_request request, instant now);
+    // The slots of those endpoints of the pool that are neither backing off nor ejected, and how many of these slots
+    // are occupied.
     struct occupancy {
-        std::uint32_t places { 0 };
-        std::uint32_t taken { 0 };
+        std::uint32_t slots { 0 };
+        std::uint32_t used_slots { 0 };
     };
     [[nodiscard]] occupancy occupancy_of(pool_name const& pool, instant now) const;
-    // How far what the pool's engines can take at once is used up, from 0 (nothing is scarce) to 1; as of the last
-    // update of paces.
+    // Returns the scarcity of the pool's engines as of the last update or choice, from 0 (nothing is scarce) to 1.
     [[nodiscard]] double scarcity_of(pool_name const& pool) const;
-    // All engines that are listed.
+    // Returns all listed engines.
     [[nodiscard]] std::vector<engine_view> engines() const;
-    // An engine whose believed pace has doubled or halved since it was last told so.
-    struct pace_change {
+    // An engine whose estimated prefill rate has doubled or halved since it was last returned, with both rates in
+    // tokens per millisecond.
+    struct rate_change {
         endpoint_name engine;
         double before { 0 };
         double now { 0 };
     };
-    [[nodiscard]] std::vector<pace_change> take_pace_changes();
-    // No engine of the pool can ever hold the prompt.
+    [[nodiscard]] std::vector<rate_change> take_rate_changes();
+    // Whether no engine of the pool can ever hold the prompt.
     [[nodiscard]] bool is_too_large(pool_name const& pool, token_count prompt) const;
-    // An attempt was sent there, as it was chosen.
-    [[nodiscard]] engine_run note_attempt(endpoint_choice const& chosen, bool is_engine, instant now);
+    // Records an attempt that was sent to the chosen endpoint.
+    [[nodiscard]] engine_run record_attempt(endpoint_choice const& chosen, bool is_engine, instant now);
+    // How an attempt ended: `failed` if the endpoint rejected or failed it, `done` otherwise.
     enum class run_end { done, failed };
-    // It has ended. One that failed before its first event counts as unread for as long as that was foreseen to take:
-    // an engine that fails at once would look idle, and draw all work.
-    void note_end(endpoint_state& endpoint, engine_run const& run, run_end end, instant now);
+    // Records the end of an attempt. The prompt of an attempt that failed before its first event counts as pending
+    // prefill for its estimated duration: an engine that fails immediately would otherwise look idle and attract all
+    // work.
+    void record_end(endpoint_state& endpoint, engine_run const& run, run_end end, instant now);
     [[nodiscard]] std::size_t cold_endpoints(instant now) const;
 
-    // The time that a plain service takes, learnt from its answers.
-    void note_service_time(pool_name const& pool, double took_ms);
-    // An attempt's first event has come; when is not told.
-    static void note_begun(endpoint_state& endpoint, engine_run& run);
-    // An attempt's first event, so long after it was sent.
-    void note_first_event(endpoint_state& endpoint, engine_run& run, double took_ms, instant now);
-    // An attempt's first event has been overdue for so much longer.
-    void note_overdue(endpoint_state& endpoint, engine_run const& run, double late_ms, instant now);
-    // Believes less in what was seen as it grows old: an engine that is foreseen to be slow gets no requests by which
-    // it could show that it is not.
-    void update_paces(instant now);
+    // Records the duration of an answer of a plain service.
+    void record_service_time(pool_name const& pool, double took_ms);
+    // Records that an attempt's first event was received at an unknown time.
+    static void record_prefill_end(endpoint_state& endpoint, engine_run& run);
+    // Records an attempt's first event, `took_ms` after the attempt was sent.
+    void record_first_event(endpoint_state& endpoint, engine_run& run, double took_ms, instant now);
+    // Records that an attempt's first event has been overdue for a further `late_ms`.
+    void record_overdue(endpoint_state& endpoint, engine_run const& run, double late_ms, instant now);
+    // Updates the estimated prefill rates and the scarcity. Older samples weigh less, because an engine that is
+    // estimated to be slow gets no requests that could correct the estimate.
+    void update_rates(instant now);
 
-    void take_report(peer_report const& report, source_place place, instant now);
+    // Applies the loads, prefill samples and cached parts of a report of another router or failure domain.
+    void apply_report(peer_report const& report, report_origin origin, instant now);
+    // Removes the work that the source reported, for example because its router was lost.
     void forget(report_source const& source);
+    // Removes cached parts that were not used within the cache lifetime.
     void forget_old_parts(instant now);
-    // Everything that was placed of late, for a router that knows nothing yet.
-    [[nodiscard]] std::vector<part_placed> recent_parts(instant now) const;
+    // Returns the recently used prompt parts of all endpoints, for a router that has just started.
+    [[nodiscard]] std::vector<cached_part> recent_parts(instant now) const;
 
-    // What the others are to know: work as it stands, and what was seen of paces since the last call.
+    // Returns this router's work at each endpoint, and the prefill samples since the last call, for reports to other
+    // routers.
     [[nodiscard]] std::vector<endpoint_load> take_own_loads(report_scope scope);
-    // The same for all routers of this failure domain together.
+    // Returns the same, summed over all routers of this failure domain.
     [[nodiscard]] std::vector<endpoint_load> take_domain_loads(report_scope scope);
-    // What was sent before counts as told: nobody was told for a while, and it is out of date.
+    // Discards the failure domain's unsent prefill samples and last reported work: no report was sent for a while, and
+    // both are out of date.
     void skip_domain_loads();
 
 private:
-    // What a request that is sent there now must expect.
-    struct outlook {
-        // Of an engine, until it has read what is before the request, by what was told.
-        double before_ms { 0 };
-        // Until the first event or the answer, by what was told: whether a request is let in goes by that.
+    // Estimated times for a request that is sent to an endpoint now.
+    struct latency_estimate {
+        // Time until the engine has completed the prefill that is pending before the request, according to reports; 0
+        // for a plain service.
+        double queue_ms { 0 };
+        // Time until the first event or the answer, according to reports. Admission uses this value.
         double total_ms { 0 };
-        // The same with what others have sent unseen: where it goes is decided by that. Whether it is let in is not:
-        // what may have been sent is no reason to turn a caller away.
+        // Time until the first event or the answer, with the estimated work that others have not reported yet. The
+        // choice between endpoints uses this value. Admission does not: work that may have been sent is no reason to
+        // refuse a caller.
         double likely_ms { 0 };
     };
-    [[nodiscard]] outlook outlook_at(
-        endpoint_state const& endpoint, choice_request const& wanted, token_count unkept) const;
-    // An endpoint that may get the request, and how much of its prompt it does not keep.
+    [[nodiscard]] latency_estimate estimate_latency(
+        endpoint_state const& endpoint, choice_request const& request, token_count uncached_tokens) const;
+    // An endpoint that may receive the request, and the prompt tokens that it has not cached.
     struct candidate {
         endpoint_state* endpoint { nullptr };
-        token_count unkept { 0 };
-        // It is ejected, and this request would be the one that probes it.
+        token_count uncached_tokens { 0 };
+        // The endpoint is ejected, and this request would probe it.
         bool is_probe { false };
     };
-    // Valid until the next call.
-    [[nodiscard]] std::vector<candidate> const& candidates_for(choice_request const& wanted, instant now);
-    // What nearly all engines keep is held there once for all; the rest each request holds for itself, with what it
-    // makes.
-    [[nodiscard]] static token_count held_by(request_cost const& cost, std::vector<candidate> const& candidates);
-    // It has a place and memory, as far as the request may fill it.
-    [[nodiscard]] bool is_free(endpoint_state const& endpoint, choice_request const& wanted) const;
+    // Returns the endpoints that may receive the request. The reference is valid until the next call.
+    [[nodiscard]] std::vector<candidate> const& candidates_for(choice_request const& request, instant now);
+    // Returns the KV tokens that a request needs. Parts that nearly all engines have cached are stored once for all
+    // requests; each request stores the remaining prompt and its output.
+    [[nodiscard]] static token_count kv_tokens_of(request_cost const& cost, std::vector<candidate> const& candidates);
+    // Whether the endpoint has slots and KV capacity left within the request's limits.
+    [[nodiscard]] bool has_capacity(endpoint_state const& endpoint, choice_request const& request) const;
     [[nodiscard]] double cost_of(
-        candidate const& weighed, choice_request const& wanted, double expected_ms, std::uint64_t placement) const;
-    [[nodiscard]] bool begins_in_time(outlook const& foreseen, choice_request const& wanted) const;
-    [[nodiscard]] pool_pace& pace_of(pool_name const& pool);
+        candidate const& option, choice_request const& request, double expected_ms, std::uint64_t placement) const;
+    [[nodiscard]] bool starts_in_time(latency_estimate const& expected, choice_request const& request) const;
+    [[nodiscard]] pool_prefill_rate& pool_rate_of(pool_name const& pool);
     void update_scarcity(instant now);
-    // Tokens that the engine has to read before a request that is sent now, with what others have sent unseen.
-    [[nodiscard]] token_count unread_before(endpoint_state const& engine, unseen_work const& unseen) const;
+    // Returns the prompt tokens that the engine is estimated to prefill before a request that is sent now, including
+    // work that others have not reported yet.
+    [[nodiscard]] token_count expected_pending_prefill(
+        endpoint_state const& engine, unreported_work const& unreported) const;
     static void forget_failed(endpoint_state& endpoint, instant now);
-    void note_seen(endpoint_state& endpoint, reading_evidence const& seen, instant now);
-    void expect_paces();
-    // Most of those that do not rest are ejected: the fault may lie elsewhere, and all are used again.
+    void record_sample(endpoint_state& endpoint, prefill_sample const& sample, instant now);
+    void update_rate_priors();
+    // Whether more than half of the endpoints that are not backing off are ejected. The fault may then lie elsewhere,
+    // and all of them are used.
     [[nodiscard]] static bool ignores_ejection(std::vector<endpoint_state*> const& endpoints, instant now);
 
     failure_domain m_own_domain;
     region_map m_regions;
-    // Tells this router's preferences from those of others.
+    // Hash of this router's name; makes its preferences differ from those of other routers.
     std::uint64_t m_self { 0 };
     dispatch_policy m_policy;
-    // By their starts. One that started again under its name is another one; the start before stays known while
-    // attempts run there.
+    // Endpoints by instance. An endpoint that restarted under the same name is a new instance; the previous one is kept
+    // while attempts run there.
     std::unordered_map<endpoint_key, std::unique_ptr<endpoint_state>> m_endpoints;
-    // Of each name, the start that is listed, or was last.
+    // For each name, the instance that is listed, or was listed last.
     std::unordered_map<endpoint_name, endpoint_state*> m_by_name;
-    void open(endpoint_state& state);
-    void close(endpoint_state& state);
-    void keep_word(endpoint_state const& gone, instant now);
-    void recall_word(endpoint_state& state);
-    void forget_old_words(instant now);
+    void add_to_pool(endpoint_state& state);
+    void remove_from_pool(endpoint_state& state);
+    void retain_announced_state(endpoint_state const& removed, instant now);
+    void restore_announced_state(endpoint_state& state);
+    void expire_announced_states(instant now);
     void forget_name(endpoint_state const& state);
     struct cold_pool {
         double per_second { 0 };
-        milliseconds usual { 0 };
+        milliseconds cold_time { 0 };
     };
     [[nodiscard]] cold_pool const& cold_pool_of(pool_name const& pool) const;
-    // It is cold, and this router has sent it what it may for now.
-    [[nodiscard]] bool is_held_back_cold(endpoint_state& state, instant now);
+    // Whether the endpoint is cold and this router has used up its allowance for it.
+    [[nodiscard]] bool is_cold_limited(endpoint_state& state, instant now);
 
-    // Of the last choice; kept so that a choice among thousands allocates nothing.
+    // Candidates of the last choice; kept so that a choice among thousands of endpoints does not allocate.
     std::vector<candidate> m_candidates;
 
     cold_share m_cold_share;
@@ -300,41 +319,41 @@
     bool m_has_list { false };
 
     std::set<failure_domain> m_evacuated;
-    // Endpoints of a pool that are kept from new work by an evacuation alone.
-    std::unordered_map<pool_name, std::vector<endpoint_state*>> m_held_back;
-    // Those of a pool that may get new work. Invariant: none is draining, leaving, retired or in an evacuated failure
-    // domain.
-    std::unordered_map<pool_name, std::vector<endpoint_state*>> m_open;
-    struct told_work {
-        source_place place { source_place::elsewhere };
-        std::unordered_map<endpoint_key, engine_work> at;
-        instant told_at {};
+    // Endpoints of each pool that receive no new requests only because their failure domain is evacuated.
+    std::unordered_map<pool_name, std::vector<endpoint_state*>> m_evacuated_endpoints;
+    // Endpoints of each pool that may receive new requests. Invariant: none is draining, leaving, retired or in an
+    // evacuated failure domain.
+    std::unordered_map<pool_name, std::vector<endpoint_state*>> m_available;
+    struct reported_work {
+        report_origin origin { report_origin::elsewhere };
+        std::unordered_map<endpoint_key, engine_work> by_endpoint;
+        instant received_at {};
     };
-    void count_work(told_work& told, endpoint_key endpoint, engine_work const& work);
+    void replace_work(reported_work& reported, endpoint_key endpoint, engine_work const& work);
 
-    // What each source of reports has under way at each endpoint, as it last told.
-    std::unordered_map<report_source, told_work> m_told_work;
-    struct gone_word {
-        endpoint_word word;
+    // The work at each endpoint that each source of reports last reported.
+    std::unordered_map<report_source, reported_work> m_reported_work;
+    struct retained_state {
+        announced_state announced;
         instant since {};
     };
-    // Of starts that are not listed now. Invariant: each rests or leaves.
-    std::unordered_map<endpoint_key, gone_word> m_words_of_gone;
-    // Starts whose rest had not ended at the last look.
-    std::vector<endpoint_key> m_resting;
-    // No rest ends later: where nobody rests, nothing is looked through.
-    instant m_last_rest_ends {};
+    // Announced states of instances that are not listed now. Invariant: each is backing off or leaving.
+    std::unordered_map<endpoint_key, retained_state> m_retained_states;
+    // Instances that were backing off at the last check.
+    std::vector<endpoint_key> m_backing_off;
+    // The latest end of any back-off; after it, nothing needs to be searched.
+    instant m_last_backoff_end {};
     std::unordered_map<pool_name, double> m_service_time_ms;
-    std::unordered_map<pool_name, pool_pace> m_paces;
-    std::unordered_map<pool_name, unseen_work> m_unseen;
-    news_age m_news_age;
+    std::unordered_map<pool_name, pool_prefill_rate> m_pool_rates;
+    std::unordered_map<pool_name, unreported_work> m_unreported;
+    report_age m_report_age;
     std::unordered_map<pool_name, double> m_scarcity;
     struct engine_kind {
         std::uint32_t tokens_per_event { 1 };
-        // 0 where it is not told.
-        token_count memory { 0 };
+        // KV cache capacity in tokens; 0 where the configuration does not state it.
+        token_count kv_capacity { 0 };
     };
-    // Pools of engines, as they are configured.
+    // Pools of engines, from the configuration.
     std::unordered_map<pool_name, engine_kind> m_engines;
     token_count m_tokens_per_second { 0 };
 };
--- a/libraries/dispatch/endpoints/endpoint_health.h
+++ b/libraries/dispatch/endpoints/endpoint_health.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Whether an endpoint may be sent work, judged by how attempts ended there (outlier detection). An endpoint that fails
-// too often is ejected for a time that doubles; then one request at a time probes it.
+// Detects unhealthy endpoints from the outcomes of attempts (outlier detection). An endpoint that fails too often is
+// ejected for a period that doubles with each ejection; after the period, one request at a time probes it.
 #pragma once
 
 #include "base/units.h"
@@ -9,27 +9,27 @@
 
 namespace shedhill::dispatch {
 
-enum class attempt_verdict { good, turned_away, failed };
+enum class attempt_verdict { good, rejected, failed };
 
 class endpoint_health {
 public:
-    // Whether this outcome ejected the endpoint.
-    bool note(attempt_verdict verdict, instant now);
-    // A probe of an ejected endpoint is under way.
-    void note_probe_sent() { m_has_probe = true; }
-    // Its outcome says nothing about the endpoint, such as a caller who left.
-    void note_probe_over() { m_has_probe = false; }
+    // Records how an attempt ended and returns whether this outcome ejected the endpoint.
+    bool record(attempt_verdict verdict, instant now);
+    // Records that a probe of the ejected endpoint has been sent.
+    void record_probe_sent() { m_has_probe = true; }
+    // Records that the probe ended without saying anything about the endpoint, for example because its caller left.
+    void record_probe_end() { m_has_probe = false; }
 
     [[nodiscard]] bool is_ejected() const { return m_is_ejected; }
     [[nodiscard]] instant ejected_until() const { return m_ejected_until; }
-    // An ejected endpoint whose time is over takes one request.
+    // Whether the endpoint is ejected, its ejection period is over, and no probe is under way.
     [[nodiscard]] bool may_probe(instant now) const { return m_is_ejected && !m_has_probe && now >= m_ejected_until; }
 
 private:
     void eject(instant now);
 
-    // Share of failures among the last attempts, the newest weighed most.
-    double m_failure_share { 0 };
+    // Exponential moving average of failures among recent attempts, from 0 to 1.
+    double m_failure_fraction { 0 };
     std::uint32_t m_failures_in_a_row { 0 };
     bool m_is_ejected { false };
     bool m_has_probe { false };
--- a/libraries/dispatch/endpoints/endpoint_notices.cpp
+++ b/libraries/dispatch/endpoints/endpoint_notices.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What endpoints tell of themselves in answers: rests, and leavings. A word binds the start that gave it, for as long
-// as it holds, whatever rows say meanwhile.
+// Applies what endpoints announce about themselves in answers: back-off requests and that they are about to stop. An
+// announcement applies to the endpoint instance that made it for as long as it is valid, whatever the endpoint's rows
+// say in the meantime.
 #include "libraries/dispatch/endpoints/endpoint_board.h"
 
 #include <algorithm>
@@ -9,40 +10,42 @@
 
 namespace {
 
-// A start that said that it leaves ends within minutes; its row may go and come back until then.
-constexpr milliseconds leaving_remembered { 3600000 };
+// An instance that announced that it is about to stop ends within minutes; until then its row may disappear and
+// reappear.
+constexpr milliseconds leaving_retention { 3600000 };
 
 } // namespace
 
-notice_change endpoint_board::take_notice(endpoint_key instance, endpoint_notice const& notice, instant now)
+notice_change endpoint_board::apply_notice(endpoint_key instance, endpoint_notice const& notice, instant now)
 {
     auto* const state = find(instance);
-    // It may have gone from the list, and come back later.
-    auto& word = state != nullptr ? state->word
-                                  : m_words_of_gone.try_emplace(instance, gone_word { {}, now }).first->second.word;
+    // The instance may have been removed from the list, and may be listed again later.
+    auto& announced = state != nullptr
+        ? state->announced
+        : m_retained_states.try_emplace(instance, retained_state { {}, now }).first->second.announced;
     notice_change change;
-    change.has_begun_rest = notice.backoff.count() > 0 && !word.rest.is_resting(now);
-    change.has_begun_leaving = notice.is_leaving && !word.is_leaving;
+    change.has_started_backoff = notice.backoff.count() > 0 && !announced.backoff.is_backing_off(now);
+    change.has_started_leaving = notice.is_leaving && !announced.is_leaving;
     if (notice.backoff.count() > 0) {
-        word.rest.note_asked(notice.backoff, now);
-        m_last_rest_ends = std::max(m_last_rest_ends, word.rest.until());
+        announced.backoff.record_requested(notice.backoff, now);
+        m_last_backoff_end = std::max(m_last_backoff_end, announced.backoff.until());
     }
-    word.is_leaving |= notice.is_leaving;
+    announced.is_leaving |= notice.is_leaving;
     if (state == nullptr)
         return change;
-    if (change.has_begun_rest && std::ranges::find(m_resting, instance) == m_resting.end())
-        m_resting.push_back(instance);
-    if (change.has_begun_leaving)
-        close(*state);
+    if (change.has_started_backoff && std::ranges::find(m_backing_off, instance) == m_backing_off.end())
+        m_backing_off.push_back(instance);
+    if (change.has_started_leaving)
+        remove_from_pool(*state);
     return change;
 }
 
-std::vector<endpoint_name> endpoint_board::take_ended_rests(instant now)
+std::vector<endpoint_name> endpoint_board::take_ended_backoffs(instant now)
 {
     std::vector<endpoint_name> ended;
-    std::erase_if(m_resting, [&](endpoint_key instance) {
+    std::erase_if(m_backing_off, [&](endpoint_key instance) {
         auto const* const state = find(instance);
-        if (state != nullptr && state->word.rest.is_resting(now))
+        if (state != nullptr && state->announced.backoff.is_backing_off(now))
             return false;
         if (state != nullptr)
             ended.push_back(state->entry.name);
@@ -51,47 +54,48 @@
     return ended;
 }
 
-std::optional<milliseconds> endpoint_board::all_rest_for(
+std::optional<milliseconds> endpoint_board::all_backed_off_for(
     pool_name const& pool, region_bound const& regions, instant now) const
 {
-    if (now >= m_last_rest_ends)
+    if (now >= m_last_backoff_end)
         return std::nullopt;
-    auto const found = m_open.find(pool);
-    if (found == m_open.end())
+    auto const found = m_available.find(pool);
+    if (found == m_available.end())
         return std::nullopt;
-    std::optional<instant> first_ends;
+    std::optional<instant> earliest_end;
     for (auto const* state : found->second) {
         if (!regions.allows(state->region))
             continue;
-        if (!state->word.rest.is_resting(now))
+        if (!state->announced.backoff.is_backing_off(now))
             return std::nullopt;
-        first_ends = std::min(first_ends.value_or(state->word.rest.until()), state->word.rest.until());
+        earliest_end
+            = std::min(earliest_end.value_or(state->announced.backoff.until()), state->announced.backoff.until());
     }
-    if (!first_ends)
+    if (!earliest_end)
         return std::nullopt;
-    return *first_ends - now;
+    return *earliest_end - now;
 }
 
-void endpoint_board::keep_word(endpoint_state const& gone, instant now)
+void endpoint_board::retain_announced_state(endpoint_state const& removed, instant now)
 {
-    if (gone.word.is_leaving || gone.word.rest.is_resting(now))
-        m_words_of_gone.insert_or_assign(gone.key, gone_word { gone.word, now });
+    if (removed.announced.is_leaving || removed.announced.backoff.is_backing_off(now))
+        m_retained_states.insert_or_assign(removed.key, retained_state { removed.announced, now });
 }
 
-void endpoint_board::recall_word(endpoint_state& state)
+void endpoint_board::restore_announced_state(endpoint_state& state)
 {
-    auto const kept = m_words_of_gone.find(state.key);
-    if (kept == m_words_of_gone.end())
+    auto const retained = m_retained_states.find(state.key);
+    if (retained == m_retained_states.end())
         return;
-    state.word = kept->second.word;
-    m_words_of_gone.erase(kept);
+    state.announced = retained->second.announced;
+    m_retained_states.erase(retained);
 }
 
-void endpoint_board::forget_old_words(instant now)
+void endpoint_board::expire_announced_states(instant now)
 {
-    std::erase_if(m_words_of_gone, [now](auto const& kept) {
-        auto const& [word, since] = kept.second;
-        return !word.rest.is_resting(now) && (!word.is_leaving || now - since >= leaving_remembered);
+    std::erase_if(m_retained_states, [now](auto const& retained) {
+        auto const& [announced, since] = retained.second;
+        return !announced.backoff.is_backing_off(now) && (!announced.is_leaving || now - since >= leaving_retention);
     });
 }
 
@@ -102,9 +106,9 @@
         auto const add = [&, &state = *state](hold_reason reason, milliseconds left = milliseconds(0)) {
             held.push_back({ state.entry.name, state.entry.pool, state.entry.domain, reason, left });
         };
-        if (state->word.rest.is_resting(now))
-            add(hold_reason::resting, state->word.rest.until() - now);
-        if (state->word.is_leaving)
+        if (state->announced.backoff.is_backing_off(now))
+            add(hold_reason::resting, state->announced.backoff.until() - now);
+        if (state->announced.is_leaving)
             add(hold_reason::leaving);
         if (state->entry.is_draining)
             add(hold_reason::draining);
--- a/libraries/dispatch/endpoints/endpoint_view.h
+++ b/libraries/dispatch/endpoints/endpoint_view.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Why an endpoint gets no new work, or less than others, for operators.
+// Describes, for operators, the endpoints that receive no new work or less than others, and the reason.
 #pragma once
 
 #include "base/identifiers.h"
@@ -10,11 +10,11 @@
 namespace shedhill::dispatch {
 
 enum class hold_reason {
-    // It asked this router for rest.
+    // The endpoint asked this router to back off.
     resting,
-    // It said in an answer that it leaves.
+    // The endpoint announced in an answer that it is about to stop.
     leaving,
-    // Its row says that it leaves.
+    // The endpoint's row says that it is about to stop.
     draining,
     evacuated,
     ejected,
@@ -45,7 +45,7 @@
     pool_name pool;
     failure_domain domain;
     hold_reason reason { hold_reason::resting };
-    // For how much longer; 0 where no time is known.
+    // Remaining time; 0 where it is unknown.
     milliseconds left { 0 };
 };
 
--- a/libraries/dispatch/endpoints/pool_scarcity.h
+++ b/libraries/dispatch/endpoints/pool_scarcity.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// How scarce the engines of a pool are. Shares divide what is scarce; where most engines have nothing to do, whoever is
-// turned away for his share loses an answer and nobody gains one. Places, reading and memory each may be what is short.
+// Measures how scarce the engines of a pool are. Team shares divide a scarce resource; where most engines are idle,
+// refusing a request because of its team's share loses an answer and benefits nobody. Slots, prefill or engine memory
+// can each be the scarce resource.
 #pragma once
 
 #include "libraries/dispatch/engines/engine_work.h"
@@ -8,14 +9,14 @@
 
 namespace shedhill::dispatch {
 
-// What an engine can take at once.
+// The capacity of one engine.
 struct engine_size {
     std::uint32_t slots { 0 };
-    // Tokens; 0 where it is not told.
-    token_count memory { 0 };
+    // KV cache capacity in tokens; 0 where the configuration does not state it.
+    token_count kv_capacity { 0 };
 };
 
-// Sums over the engines of one pool that may get work.
+// Sums load and capacity over the engines of one pool that may receive work.
 class pool_scarcity {
 public:
     explicit pool_scarcity(dispatch_policy const& policy)
@@ -23,22 +24,23 @@
     {
     }
 
-    // An engine with so much under way, which would begin to read one more prompt after so long.
-    void add(engine_size const& size, engine_work const& work, double before_ms);
+    // Adds an engine with its current work. `queue_ms` is the time until the engine would start the prefill of one more
+    // prompt.
+    void add(engine_size const& size, engine_work const& work, double queue_ms);
 
-    // The part of the pool that is in use, from 0 to 1, by what is used most of. A pool of no engines is used up.
-    [[nodiscard]] double part_in_use() const;
-    // 0 while shares do not bind, 1 where they bind in full.
+    // Returns the used fraction of the most used resource, from 0 to 1. A pool without engines counts as fully used.
+    [[nodiscard]] double used_fraction() const;
+    // Returns 0 while shares do not bind and 1 where they bind in full.
     [[nodiscard]] double scarcity() const;
 
 private:
     dispatch_policy const& m_policy;
     std::uint32_t m_engines { 0 };
-    std::uint32_t m_reading { 0 };
-    std::uint32_t m_places { 0 };
-    std::uint32_t m_taken { 0 };
-    token_count m_memory { 0 };
-    token_count m_held { 0 };
+    std::uint32_t m_prefilling { 0 };
+    std::uint32_t m_slots { 0 };
+    std::uint32_t m_used_slots { 0 };
+    token_count m_kv_capacity { 0 };
+    token_count m_kv_tokens { 0 };
 };
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/engines/engine_view.h
+++ b/libraries/dispatch/engines/engine_view.h
@@ -10,10 +10,10 @@
     endpoint_name name;
     pool_name pool;
     failure_domain domain;
-    // Of all routers.
+    // Work of all routers at the engine.
     engine_work work;
-    // Tokens that its memory holds; 0 where that is not told.
-    token_count memory { 0 };
+    // KV cache capacity in tokens; 0 where the configuration does not state it.
+    token_count kv_capacity { 0 };
     double tokens_per_ms { 0 };
 };
 
--- a/libraries/dispatch/events.h
+++ b/libraries/dispatch/events.h
@@ -104,7 +104,7 @@
 struct endpoint_load {
     endpoint_key endpoint;
     engine_work work;
-    reading_evidence prefill {};
+    prefill_sample prefill {};
 };
 
 // The demand and the admitted service of a team.
@@ -118,7 +118,7 @@
 };
 
 // A prompt part that a router has sent to an endpoint since its last report; the endpoint's cache holds it since then.
-struct part_placed {
+struct cached_part {
     endpoint_key endpoint;
     std::uint64_t part { 0 };
 };
@@ -140,7 +140,7 @@
     std::vector<team_usage> teams {};
     // The duration for which the sender has received the sums of the fleet, up to the length of their window.
     milliseconds observed_span { 0 };
-    std::vector<part_placed> parts {};
+    std::vector<cached_part> parts {};
     // The number of described routers that accept no new callers because they are overloaded.
     std::uint32_t overloaded_routers { 0 };
     // The average utilisation of the described routers that are not overloaded: of their processor time or of their
--- a/libraries/dispatch/suspects/crash_suspects.cpp
+++ b/libraries/dispatch/suspects/crash_suspects.cpp
@@ -168,7 +168,7 @@
     return true;
 }
 
-bool crash_suspects::merge(crash_record const& received, source_place place, instant now)
+bool crash_suspects::merge(crash_record const& received, report_origin place, instant now)
 {
     if (received.left <= milliseconds(0))
         return false;
@@ -181,7 +181,7 @@
         entry.broken_at = now;
         // The sender reports the record to the other routers of its failure domain itself. Other failure domains
         // receive it from the delegate of this one.
-        entry.is_unreported_to_domains = place == source_place::own_domain;
+        entry.is_unreported_to_domains = place == report_origin::own_domain;
     }
     entry.was_answered |= received.was_answered;
     entry.peer_trial_until = std::max(entry.peer_trial_until, now + std::min(received.trial_left, trial_lifetime));
@@ -192,7 +192,7 @@
 {
     auto renewed = stored;
     renewed.left = stored.was_answered ? short_quarantine : record_lifetime;
-    if (!merge(renewed, source_place::own_domain, now))
+    if (!merge(renewed, report_origin::own_domain, now))
         return false;
     auto& entry = m_records.at(stored.request);
     entry.is_own = true;
--- a/libraries/dispatch/types.h
+++ b/libraries/dispatch/types.h
@@ -69,7 +69,7 @@
     std::uint32_t max_connections { 0 };
     // The number of requests that a model engine runs concurrently; 0 means that the pool is a plain service.
     std::uint32_t engine_slots { 0 };
-    token_count engine_memory { 0 };
+    token_count engine_kv_capacity { 0 };
     std::uint32_t tokens_per_event { 1 };
     // The request rate that one endpoint of the pool sustains while it is cold; 0 means no bound.
     double cold_requests_per_second { 0 };
--- a/libraries/peering/peer_message.cpp
+++ b/libraries/peering/peer_message.cpp
@@ -44,8 +44,9 @@
 
 fbs::Work to_wire(dispatch::endpoint_load const& load)
 {
-    return { load.endpoint.value(), saturate<std::uint32_t>(load.work.unread), saturate<std::uint32_t>(load.work.held),
-        saturate<std::uint32_t>(std::round(load.prefill.time_ms)), saturate<std::uint16_t>(load.work.running),
+    return { load.endpoint.value(), saturate<std::uint32_t>(load.work.pending_prefill),
+        saturate<std::uint32_t>(load.work.kv_tokens), saturate<std::uint32_t>(std::round(load.prefill.time_ms)),
+        saturate<std::uint16_t>(load.work.running),
         saturate<std::uint16_t>(std::round(load.prefill.tokens / tokens_per_unit)) };
 }
 
--- a/services/shedhilld/platform_router.h
+++ b/services/shedhilld/platform_router.h
@@ -3,7 +3,7 @@
 // effects on sockets and reports events to it. The bindings define the protocols of callers, endpoints and the store.
 #pragma once
 
-#include "libraries/dispatch/admission/return_time.h"
+#include "libraries/dispatch/admission/retry_delay.h"
 #include "libraries/dispatch/dispatch_reducer.h"
 #include "libraries/dispatch/log_fields.h"
 #include "libraries/logging/event_log.h"
@@ -171,7 +171,8 @@
             return refuse_unparsed(connection, request, dispatch::refusal_reason::stopping, stopping_retry_delay);
         // The request is neither run nor buffered: what is already buffered is served first.
         if (m_loop.held().is_over_limit())
-            return refuse_unparsed(connection, request, dispatch::refusal_reason::memory_full, dispatch::least_return);
+            return refuse_unparsed(
+                connection, request, dispatch::refusal_reason::memory_full, dispatch::default_retry_delay);
         dispatch::request_arrived arrived;
         arrived.request = request_number(++m_last_request);
         if (!CallerBinding::read_request(request, arrived)) {
--- a/services/shedhilld/router_gauges.cpp
+++ b/services/shedhilld/router_gauges.cpp
@@ -31,9 +31,9 @@
             + engine.domain.value() + "\"} ";
         text << "shedhill_engine_tokens_per_ms" << labels << engine.tokens_per_ms << '\n'
              << "shedhill_engine_running" << labels << engine.work.running << '\n'
-             << "shedhill_engine_unread_tokens" << labels << engine.work.unread << '\n'
-             << "shedhill_engine_held_tokens" << labels << engine.work.held << '\n'
-             << "shedhill_engine_memory_tokens" << labels << engine.memory << '\n';
+             << "shedhill_engine_unread_tokens" << labels << engine.work.pending_prefill << '\n'
+             << "shedhill_engine_held_tokens" << labels << engine.work.kv_tokens << '\n'
+             << "shedhill_engine_memory_tokens" << labels << engine.kv_capacity << '\n';
     }
     return text.str();
 }
--- a/tests/dispatch/admission_terms_test.cpp
+++ b/tests/dispatch/admission_terms_test.cpp
@@ -29,9 +29,9 @@
 
     void standing_follows_level_share_and_even_level()
     {
-        CPPUNIT_ASSERT(standing_of({ 100, 100, 50 }) == team_standing::within_share);
-        CPPUNIT_ASSERT(standing_of({ 101, 100, 150 }) == team_standing::past_share);
-        CPPUNIT_ASSERT(standing_of({ 151, 100, 150 }) == team_standing::ahead);
+        CPPUNIT_ASSERT(share_status_of({ 100, 100, 50 }) == share_status::within_share);
+        CPPUNIT_ASSERT(share_status_of({ 101, 100, 150 }) == share_status::past_share);
+        CPPUNIT_ASSERT(share_status_of({ 151, 100, 150 }) == share_status::ahead);
     }
 
     // Who was given more never has better terms.
@@ -46,17 +46,17 @@
             dispatch_policy const policy;
             auto const terms_at = [&](token_count level) {
                 team_account const account { level, share, even_level };
-                return terms_of(standing_of(account), account, objective, scarcity, policy);
+                return terms_of(share_status_of(account), account, objective, scarcity, policy);
             };
             auto const better = terms_at(less);
             auto const worse = terms_at(more);
-            RC_ASSERT(better.longest_wait >= worse.longest_wait);
-            RC_ASSERT(better.most_load >= worse.most_load);
-            RC_ASSERT(better.queueing_part >= worse.queueing_part);
+            RC_ASSERT(better.max_wait >= worse.max_wait);
+            RC_ASSERT(better.max_load >= worse.max_load);
+            RC_ASSERT(better.queueing_fraction >= worse.queueing_fraction);
             RC_ASSERT(better.patience <= worse.patience);
-            RC_ASSERT(worse.patience > worse.longest_wait || worse.queueing_part > 0);
-            RC_ASSERT(worse.most_load >= 0);
-            RC_ASSERT(more > std::max(share, even_level) || worse.most_load >= policy.load_past_share);
+            RC_ASSERT(worse.patience > worse.max_wait || worse.queueing_fraction > 0);
+            RC_ASSERT(worse.max_load >= 0);
+            RC_ASSERT(more > std::max(share, even_level) || worse.max_load >= policy.load_past_share);
         });
     }
 
@@ -73,11 +73,11 @@
             auto const less = static_cast<double>(*rc::gen::inRange(0, 101)) / 100;
             auto const more = less + (1 - less) * static_cast<double>(*rc::gen::inRange(0, 101)) / 100;
             dispatch_policy const policy;
-            auto const better = terms_of(standing_of(account), account, objective, less, policy);
-            auto const worse = terms_of(standing_of(account), account, objective, more, policy);
-            RC_ASSERT(better.longest_wait >= worse.longest_wait);
-            RC_ASSERT(better.most_load >= worse.most_load);
-            RC_ASSERT(better.queueing_part >= worse.queueing_part);
+            auto const better = terms_of(share_status_of(account), account, objective, less, policy);
+            auto const worse = terms_of(share_status_of(account), account, objective, more, policy);
+            RC_ASSERT(better.max_wait >= worse.max_wait);
+            RC_ASSERT(better.max_load >= worse.max_load);
+            RC_ASSERT(better.queueing_fraction >= worse.queueing_fraction);
             RC_ASSERT(better.patience <= worse.patience);
         });
     }
@@ -87,12 +87,12 @@
         testing::check_property("no share binds", [] {
             auto const account = any_account();
             dispatch_policy const policy;
-            auto const terms = terms_of(standing_of(account), account, objective, 0, policy);
-            auto const owed = terms_of(team_standing::within_share, account, objective, 0, policy);
-            RC_ASSERT(terms.longest_wait == owed.longest_wait);
+            auto const terms = terms_of(share_status_of(account), account, objective, 0, policy);
+            auto const owed = terms_of(share_status::within_share, account, objective, 0, policy);
+            RC_ASSERT(terms.max_wait == owed.max_wait);
             RC_ASSERT(terms.patience == owed.patience);
-            RC_ASSERT(terms.most_load == owed.most_load);
-            RC_ASSERT(terms.queueing_part == owed.queueing_part);
+            RC_ASSERT(terms.max_load == owed.max_load);
+            RC_ASSERT(terms.queueing_fraction == owed.queueing_fraction);
         });
     }
 
--- a/tests/dispatch/cold_share_test.cpp
+++ b/tests/dispatch/cold_share_test.cpp
@@ -42,7 +42,7 @@
 
     void take(std::vector<std::string> const& routers, std::int64_t true_ms)
     {
-        share.take_routers(routers, address, clock(true_ms));
+        share.apply_routers(routers, address, clock(true_ms));
     }
 
     bool tries(endpoint_key endpoint, std::int64_t true_ms)
@@ -50,7 +50,7 @@
         auto const now = clock(true_ms);
         if (!sent.may_send(share.allowance(endpoint, per_second, now), now))
             return false;
-        sent.note_sent(now);
+        sent.record_sent(now);
         return true;
     }
 };
@@ -192,7 +192,7 @@
     void parts_are_worked_out_anew_for_another_rate()
     {
         cold_share share(bounds);
-        share.take_routers({}, "10.0.0.1:1", instant(milliseconds(1000)));
+        share.apply_routers({}, "10.0.0.1:1", instant(milliseconds(1000)));
         auto const later = instant(milliseconds(9000));
         CPPUNIT_ASSERT_EQUAL(18U, share.allowance(some_endpoint(), per_second, later));
         CPPUNIT_ASSERT_EQUAL(4U, share.allowance(some_endpoint(), 4, later));
--- a/tests/dispatch/crowded_pool_play.cpp
+++ b/tests/dispatch/crowded_pool_play.cpp
@@ -135,12 +135,12 @@
     auto const speed = m_load.speeds.at(endpoint % m_load.speeds.size());
     auto const part = found->second.part;
     auto const shared = part == 0 ? 0 : m_load.shared_prompt;
-    auto const unkept
+    auto const uncached_tokens
         = found->second.prompt + (part == 0 || engine.kept_parts.insert(part).second ? shared : token_count { 0 });
-    auto const took = static_cast<double>(unkept) / (m_load.tokens_per_ms * speed);
+    auto const took = static_cast<double>(uncached_tokens) / (m_load.tokens_per_ms * speed);
     if (m_now >= m_from && m_now < m_until) {
         m_worked_ms += took;
-        engine.read += static_cast<double>(unkept);
+        engine.read += static_cast<double>(uncached_tokens);
         m_outcome.stood.push_back(std::max(engine.read_until - m_now, milliseconds(0)));
     }
     engine.read_until = std::max(engine.read_until, m_now) + milliseconds(static_cast<std::int64_t>(took));
--- a/tests/dispatch/crowded_pool_test.cpp
+++ b/tests/dispatch/crowded_pool_test.cpp
@@ -2,7 +2,7 @@
 // What callers get of a pool with too little room that many routers share: how much of it is used while they are turned
 // away, how many are answered in time, and when those come back who were refused.
 #include "libraries/dispatch/admission/answer_time_limit.h"
-#include "libraries/dispatch/admission/return_time.h"
+#include "libraries/dispatch/admission/retry_delay.h"
 #include "tests/dispatch/crowded_pool_play.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -79,23 +79,23 @@
     void the_limit_falls_once_for_answers_that_come_together()
     {
         answer_time_limit limit;
-        limit.begin_with(3);
+        limit.initialize(3);
         auto const before = limit.limit();
         for (int answer = 0; answer < 10; ++answer)
-            limit.note_answer(200, 75, 5, at(5000));
+            limit.record_answer(200, 75, 5, at(5000));
         CPPUNIT_ASSERT(limit.limit() > before * 0.8);
-        limit.note_turned_away(at(5200));
+        limit.record_rejection(at(5200));
         CPPUNIT_ASSERT(limit.limit() < before * 0.8);
     }
 
     void a_limit_that_is_not_used_does_not_rise()
     {
         answer_time_limit limit;
-        limit.begin_with(3);
+        limit.initialize(3);
         for (std::int64_t now = 0; now < 20000; now += 100)
-            limit.note_answer(20, 75, 0, at(now));
+            limit.record_answer(20, 75, 0, at(now));
         CPPUNIT_ASSERT(limit.limit() <= 6);
-        limit.note_answer(20, 75, 5, at(20000));
+        limit.record_answer(20, 75, 5, at(20000));
         CPPUNIT_ASSERT(limit.limit() > 6);
     }
 
@@ -103,14 +103,14 @@
     {
         answer_time_limit limit;
         for (std::int64_t now = 0; now < 20000; now += 100)
-            limit.note_answer(800, 75, 0, at(now));
+            limit.record_answer(800, 75, 0, at(now));
         // One is sent whenever it may be, and answered at once again.
         int answers = 0;
         for (std::int64_t now = 20000; now < 40000; now += 10) {
             if (!limit.allows(0, at(now)))
                 continue;
-            limit.note_sent(at(now));
-            limit.note_answer(30, 75, 0, at(now));
+            limit.record_sent(at(now));
+            limit.record_answer(30, 75, 0, at(now));
             ++answers;
         }
         CPPUNIT_ASSERT(limit.limit() >= 1);
@@ -121,12 +121,12 @@
     {
         answer_time_limit limit;
         for (std::int64_t now = 0; now < 20000; now += 100)
-            limit.note_answer(100, 75, 0, at(now));
+            limit.record_answer(100, 75, 0, at(now));
         int sent = 0;
         for (std::int64_t now = 20000; now < 30000; now += 1) {
             if (!limit.allows(0, at(now)))
                 continue;
-            limit.note_sent(at(now));
+            limit.record_sent(at(now));
             ++sent;
         }
         // A twentieth at a time would be one in two seconds; one a second is sent however slow the answers are.
@@ -141,7 +141,7 @@
     void who_found_no_place_comes_back_within_the_objective()
     {
         for (std::uint64_t draw = 0; draw < 5000; draw += 7) {
-            auto const after = return_time(usual_caller(), draw);
+            auto const after = retry_delay(usual_caller(), draw);
             CPPUNIT_ASSERT(after >= milliseconds(50) && after <= milliseconds(150));
         }
     }
@@ -150,9 +150,9 @@
     {
         auto refused = usual_caller();
         refused.reason = refusal_reason::router_overloaded;
-        CPPUNIT_ASSERT(return_time(refused, 0) == least_return);
-        refused.is_router_aside = true;
-        CPPUNIT_ASSERT(return_time(refused, 0) >= milliseconds(2000));
+        CPPUNIT_ASSERT(retry_delay(refused, 0) == default_retry_delay);
+        refused.is_router_overloaded = true;
+        CPPUNIT_ASSERT(retry_delay(refused, 0) >= milliseconds(2000));
     }
 
     void nobody_is_told_a_time_that_callers_do_not_wait()
@@ -160,9 +160,9 @@
         auto refused = usual_caller();
         refused.reason = refusal_reason::team_over_share;
         refused.left = milliseconds(900);
-        CPPUNIT_ASSERT(return_time(refused, 0) <= milliseconds(300));
+        CPPUNIT_ASSERT(retry_delay(refused, 0) <= milliseconds(300));
         refused.left = milliseconds(-5);
-        CPPUNIT_ASSERT(return_time(refused, 0) == milliseconds(1));
+        CPPUNIT_ASSERT(retry_delay(refused, 0) == milliseconds(1));
     }
 };
 
--- a/tests/dispatch/dispatch_fuzz_test.cpp
+++ b/tests/dispatch/dispatch_fuzz_test.cpp
@@ -93,7 +93,7 @@
         RC_ASSERT(m_driver.reducer().active_requests() == 0U);
         RC_ASSERT(m_driver.reducer().waiting_requests() == 0U);
         for (auto const* pool : { "model", "plain" })
-            RC_ASSERT(m_driver.reducer().occupancy_of(pool_name(pool), m_driver.now()).taken == 0U);
+            RC_ASSERT(m_driver.reducer().occupancy_of(pool_name(pool), m_driver.now()).used_slots == 0U);
         for (auto const& [number, request] : m_requests)
             RC_ASSERT(request.final_answers == 1);
     }
--- a/tests/dispatch/dispatch_guard_test.cpp
+++ b/tests/dispatch/dispatch_guard_test.cpp
@@ -140,7 +140,7 @@
         auto const request = fleet.ask("/once/", "red-key", 3000);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.sent_for(request).size());
         auto const before = fleet.reducer().engines().at(0);
-        CPPUNIT_ASSERT_EQUAL(token_count { 3000 }, before.work.unread);
+        CPPUNIT_ASSERT_EQUAL(token_count { 3000 }, before.work.pending_prefill);
         for (int index = 0; index < 20; ++index)
             fleet.take(tick { milliseconds(100) });
         CPPUNIT_ASSERT(
@@ -152,7 +152,7 @@
         fleet.begin(request);
         auto const told = fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0);
         CPPUNIT_ASSERT(told.prefill.is_empty());
-        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told.work.unread);
+        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told.work.pending_prefill);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(before.tokens_per_ms, fleet.reducer().engines().at(0).tokens_per_ms, 0.01);
     }
 
--- a/tests/dispatch/dispatch_outcomes_test.cpp
+++ b/tests/dispatch/dispatch_outcomes_test.cpp
@@ -207,7 +207,8 @@
         fleet.take(caller_left { request });
         CPPUNIT_ASSERT(fleet.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, fleet.reducer().active_requests());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t { 0 }, fleet.reducer().occupancy_of(pool_name("model"), fleet.now()).taken);
+        CPPUNIT_ASSERT_EQUAL(
+            std::uint32_t { 0 }, fleet.reducer().occupancy_of(pool_name("model"), fleet.now()).used_slots);
     }
 
     void the_time_limit_ends_a_request_at_once()
--- a/tests/dispatch/dispatch_parts_test.cpp
+++ b/tests/dispatch/dispatch_parts_test.cpp
@@ -4,7 +4,7 @@
 #include "libraries/dispatch/admission/fleet_retry_budget.h"
 #include "libraries/dispatch/admission/team_ledger.h"
 #include "libraries/dispatch/endpoints/endpoint_board.h"
-#include "libraries/dispatch/endpoints/prompt_places.h"
+#include "libraries/dispatch/endpoints/prompt_cache_index.h"
 #include "libraries/dispatch/store/table_watcher.h"
 #include "tests/dispatch/dispatch_driver.h"
 #include "tests/support/property.h"
@@ -84,7 +84,7 @@
             // The sums of a whole window are known by the time of the demands.
             ledger.update_shares(rate, at(1000));
             for (std::size_t index = 0; index < demands.size(); ++index)
-                ledger.note_asked(key_of(team_name(std::to_string(index))), at(5000), demands[index] / fresh);
+                ledger.record_requested(key_of(team_name(std::to_string(index))), at(5000), demands[index] / fresh);
             ledger.update_shares(rate, at(5000));
             auto const owed = static_cast<token_count>(rate) * 4;
             auto const asked = std::accumulate(demands.begin(), demands.end(), token_count { 0 });
@@ -109,9 +109,9 @@
         peer_report report;
         report.peer = vm_name("b");
         report.teams = { { key_of(team_name("red")), 500, 100 } };
-        ledger.take_report(report, source_place::own_domain, at(1000));
+        ledger.apply_report(report, report_origin::own_domain, at(1000));
         report.teams = { { key_of(team_name("red")), 600, 150 } };
-        ledger.take_report(report, source_place::own_domain, at(1000));
+        ledger.apply_report(report, report_origin::own_domain, at(1000));
         CPPUNIT_ASSERT_EQUAL(token_count { 2150 }, ledger.level(key_of(team_name("red")), at(1000)));
         ledger.forget(report.source());
         CPPUNIT_ASSERT_EQUAL(token_count { 2000 }, ledger.level(key_of(team_name("red")), at(1000)));
@@ -122,12 +122,12 @@
     void a_share_grows_with_what_is_known()
     {
         team_ledger ledger(milliseconds(4000));
-        ledger.note_asked(key_of(team_name("red")), at(1000), 1000000);
+        ledger.record_requested(key_of(team_name("red")), at(1000), 1000000);
         ledger.update_shares(1000, at(1000));
         CPPUNIT_ASSERT_EQUAL(token_count { 1000 }, ledger.share());
         ledger.update_shares(1000, at(2500));
         CPPUNIT_ASSERT_EQUAL(token_count { 2500 }, ledger.share());
-        ledger.note_asked(key_of(team_name("red")), at(9000), 1000000);
+        ledger.record_requested(key_of(team_name("red")), at(9000), 1000000);
         ledger.update_shares(1000, at(9000));
         CPPUNIT_ASSERT_EQUAL(token_count { 4000 }, ledger.share());
         CPPUNIT_ASSERT(ledger.observed_span(at(9000)) == milliseconds(4000));
@@ -141,7 +141,7 @@
         report.peer = vm_name("b");
         report.teams = { { key_of(team_name("red")), 1000000, 0 } };
         report.observed_span = milliseconds(4000);
-        ledger.take_report(report, source_place::own_domain, at(1100));
+        ledger.apply_report(report, report_origin::own_domain, at(1100));
         ledger.update_shares(1000, at(1100));
         CPPUNIT_ASSERT_EQUAL(token_count { 4000 }, ledger.share());
     }
@@ -170,7 +170,7 @@
             pool_name const pool("model");
             for (auto const& [router, pause] : requests) {
                 now += pause;
-                budgets[static_cast<std::size_t>(router)].note_request(pool, at(now));
+                budgets[static_cast<std::size_t>(router)].record_request(pool, at(now));
                 arrivals.emplace_back(now, false);
                 // Everything fails.
                 if (budgets[static_cast<std::size_t>(router)].spend(pool, at(now)))
@@ -281,18 +281,18 @@
 
     void a_part_counts_only_behind_kept_ones()
     {
-        prompt_places places;
+        prompt_cache_index places;
         request_cost cost;
         cost.prompt = 60;
         cost.parts = { { 1, 10 }, { 2, 20 }, { 3, 30 } };
-        places.note(2, at(1000));
-        CPPUNIT_ASSERT_EQUAL(token_count { 60 }, places.unkept_tokens(cost, at(500)));
-        places.note(1, at(1000));
-        CPPUNIT_ASSERT_EQUAL(token_count { 30 }, places.unkept_tokens(cost, at(500)));
+        places.record_use(2, at(1000));
+        CPPUNIT_ASSERT_EQUAL(token_count { 60 }, places.count_uncached_tokens(cost, at(500)));
+        places.record_use(1, at(1000));
+        CPPUNIT_ASSERT_EQUAL(token_count { 30 }, places.count_uncached_tokens(cost, at(500)));
         // The last part is the request's own, and what was long unused is gone.
-        places.note(3, at(1000));
-        CPPUNIT_ASSERT_EQUAL(token_count { 30 }, places.unkept_tokens(cost, at(500)));
-        CPPUNIT_ASSERT_EQUAL(token_count { 60 }, places.unkept_tokens(cost, at(48000)));
+        places.record_use(3, at(1000));
+        CPPUNIT_ASSERT_EQUAL(token_count { 30 }, places.count_uncached_tokens(cost, at(500)));
+        CPPUNIT_ASSERT_EQUAL(token_count { 60 }, places.count_uncached_tokens(cost, at(48000)));
     }
 
     static choice_request usual_choice(request_cost const& cost, std::vector<endpoint_name> const& excluded)
@@ -320,40 +320,40 @@
         std::vector<endpoint_entry> entries;
         for (auto const* name : { "e1", "e2", "e3", "e4" })
             entries.push_back(dispatch_driver::make_endpoint(name, "model", 8));
-        board.take_list(entries, at(1000));
+        board.apply_list(entries, at(1000));
         auto const cost = long_prompt(77);
         std::vector<endpoint_name> const excluded;
         for (auto const* name : { "e1", "e2", "e3", "e4" }) {
             endpoint_board fresh(failure_domain("north"));
-            fresh.take_list(entries, at(1000));
+            fresh.apply_list(entries, at(1000));
             auto* const keeper = fresh.find(endpoint_name(name));
-            keeper->places.note(1, at(1000));
-            keeper->places.note(77, at(1000));
+            keeper->prompt_cache.record_use(1, at(1000));
+            keeper->prompt_cache.record_use(77, at(1000));
             keeper->own.running = 3;
             auto const chosen = fresh.choose(usual_choice(cost, excluded), at(1001));
             CPPUNIT_ASSERT_EQUAL(std::string(name), chosen.endpoint->entry.name.value());
-            CPPUNIT_ASSERT_EQUAL(token_count { 500 }, chosen.unkept);
+            CPPUNIT_ASSERT_EQUAL(token_count { 500 }, chosen.uncached_tokens);
         }
     }
 
     void a_full_endpoint_is_passed_over()
     {
         endpoint_board board(failure_domain("north"));
-        board.take_list(
+        board.apply_list(
             { dispatch_driver::make_endpoint("e1", "model", 8), dispatch_driver::make_endpoint("e2", "model", 8) },
             at(1000));
         auto const cost = long_prompt(77);
         std::vector<endpoint_name> const excluded;
         auto* const keeper = board.find(endpoint_name("e1"));
-        keeper->places.note(1, at(1000));
-        keeper->places.note(77, at(1000));
+        keeper->prompt_cache.record_use(1, at(1000));
+        keeper->prompt_cache.record_use(77, at(1000));
         // Another router's requests count too.
-        board.take_report(
+        board.apply_report(
             { vm_name("b"), report_scope::whole, { { key_of(endpoint_name("e1")), { 8, 0, 0 } } }, {}, {} },
-            source_place::own_domain, at(1000));
+            report_origin::own_domain, at(1000));
         auto const chosen = board.choose(usual_choice(cost, excluded), at(1001));
         CPPUNIT_ASSERT_EQUAL(std::string("e2"), chosen.endpoint->entry.name.value());
-        CPPUNIT_ASSERT_EQUAL(token_count { 5500 }, chosen.lost);
+        CPPUNIT_ASSERT_EQUAL(token_count { 5500 }, chosen.redundant_prefill);
         board.forget(peer_report { .peer = vm_name("b") }.source());
         CPPUNIT_ASSERT_EQUAL(
             std::string("e1"), board.choose(usual_choice(cost, excluded), at(1001)).endpoint->entry.name.value());
@@ -364,30 +364,30 @@
     void an_endpoint_that_was_slow_is_tried_again()
     {
         endpoint_board board(failure_domain("north"));
-        board.take_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
+        board.apply_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
         // Prompts that were sent at once are read one after another, each in half a second.
         auto& endpoint = *board.find(endpoint_name("e1"));
         endpoint_choice chosen;
         chosen.endpoint = &endpoint;
-        chosen.unkept = 4000;
+        chosen.uncached_tokens = 4000;
         std::array<engine_run, 20> sent {};
         for (auto& run : sent)
-            run = board.note_attempt(chosen, true, at(1000));
+            run = board.record_attempt(chosen, true, at(1000));
         std::int64_t now = 1000;
         for (auto& run : sent) {
             now += 500;
             auto const took = static_cast<double>(now - 1000);
-            board.note_overdue(endpoint, run, std::max(took - run.forecast.total_ms(), 0.0), at(now));
-            board.note_first_event(endpoint, run, took, at(now));
+            board.record_overdue(endpoint, run, std::max(took - run.estimate.total_ms(), 0.0), at(now));
+            board.record_first_event(endpoint, run, took, at(now));
         }
         auto const cost = long_prompt(77);
         std::vector<endpoint_name> const excluded;
         auto const let_others_send = [&](std::int64_t time) {
             for (auto const until = now + time; now < until; now += 100) {
-                board.take_report({ vm_name("b"), report_scope::whole,
-                                      { { key_of(endpoint_name("e1")), { 10, 3000, 0 }, { 3000, 60 } } }, {}, {} },
-                    source_place::own_domain, at(now));
-                board.update_paces(at(now));
+                board.apply_report({ vm_name("b"), report_scope::whole,
+                                       { { key_of(endpoint_name("e1")), { 10, 3000, 0 }, { 3000, 60 } } }, {}, {} },
+                    report_origin::own_domain, at(now));
+                board.update_rates(at(now));
             }
         };
         let_others_send(200);
@@ -406,8 +406,8 @@
         for (std::uint64_t subject = 100; subject < 200; ++subject) {
             endpoint_board left(failure_domain("north"));
             endpoint_board right(failure_domain("north"));
-            left.take_list(entries, at(1000));
-            right.take_list(entries, at(1000));
+            left.apply_list(entries, at(1000));
+            right.apply_list(entries, at(1000));
             auto const cost = long_prompt(subject);
             auto const chosen = left.choose(usual_choice(cost, excluded), at(1001)).endpoint->entry.name;
             CPPUNIT_ASSERT(chosen == right.choose(usual_choice(cost, excluded), at(1001)).endpoint->entry.name);
--- a/tests/dispatch/domain_reports_test.cpp
+++ b/tests/dispatch/domain_reports_test.cpp
@@ -2,8 +2,8 @@
 // Sums of a failure domain: each router's part is counted once at every other router, whichever way it comes, also when
 // another router begins to tell them.
 #include "base/hash.h"
+#include "libraries/dispatch/admission/reported_usage.h"
 #include "libraries/dispatch/admission/team_ledger.h"
-#include "libraries/dispatch/admission/told_usage.h"
 #include "tests/dispatch/dispatch_driver.h"
 #include "tests/support/property.h"
 
@@ -58,7 +58,7 @@
     void changes_of_usage_add_up()
     {
         testing::check_property("changes of usage lead to what stands", [] {
-            told_usage told;
+            reported_usage told;
             team_ledger there(milliseconds(4000));
             peer_report report;
             report.peer = vm_name("b");
@@ -74,7 +74,7 @@
                         current.push_back({ team_key(index), step.at(index), step.at(index) });
                 }
                 report.teams = told.take(current, report.scope);
-                there.take_report(report, source_place::elsewhere, at(1000));
+                there.apply_report(report, report_origin::elsewhere, at(1000));
                 report.scope = report_scope::changes;
                 for (std::uint64_t index = 0; index < teams; ++index)
                     RC_ASSERT(there.level(team_key(index), at(1000)) == step.at(index));
@@ -104,7 +104,7 @@
         auto const told = reducer.take_domain_report(report_scope::changes, at(1100));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.loads.size());
         CPPUNIT_ASSERT_EQUAL(6U, told.loads[0].work.running);
-        CPPUNIT_ASSERT_EQUAL(token_count { 200 }, told.loads[0].work.unread);
+        CPPUNIT_ASSERT_EQUAL(token_count { 200 }, told.loads[0].work.pending_prefill);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(200, told.loads[0].prefill.tokens, 0.01);
         CPPUNIT_ASSERT(reducer.take_domain_report(report_scope::changes, at(1200)).loads.empty());
     }
@@ -120,7 +120,7 @@
         reducer.reduce({ at(1010), 0, sums });
         // Repeated, it adds nothing.
         reducer.reduce({ at(1020), 0, sums });
-        CPPUNIT_ASSERT_EQUAL(6U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(6U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
     }
 
     void a_single_router_does_not_count_beside_its_domain()
@@ -130,14 +130,14 @@
         sums.subject = report_subject::domain;
         reducer.reduce({ at(1000), 0, sums });
         reducer.reduce({ at(1010), 0, report_of("z", "south", 100) });
-        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
         // The sums are forgotten three seconds later than the last of them.
         reducer.reduce({ at(3900), 0, tick {} });
-        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
         reducer.reduce({ at(4100), 0, tick {} });
-        CPPUNIT_ASSERT_EQUAL(0U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(0U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
         reducer.reduce({ at(4110), 0, report_of("z", "south", 100) });
-        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(3U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
     }
 
     void the_own_domain_is_not_taken_from_others()
@@ -146,7 +146,7 @@
         auto sums = report_of("b", "north", 200);
         sums.subject = report_subject::domain;
         reducer.reduce({ at(1000), 0, sums });
-        CPPUNIT_ASSERT_EQUAL(0U, reducer.occupancy_of(pool_name("model"), at(1020)).taken);
+        CPPUNIT_ASSERT_EQUAL(0U, reducer.occupancy_of(pool_name("model"), at(1020)).used_slots);
     }
 
     void who_begins_to_tell_leaves_out_what_is_old()
@@ -191,8 +191,8 @@
                 std::string name;
                 std::size_t domain;
                 team_ledger ledger;
-                told_usage own_told;
-                told_usage domain_told;
+                reported_usage own_told;
+                reported_usage domain_told;
             };
             std::vector<router> routers;
             for (std::size_t index = 0; index < 2 * each; ++index)
@@ -209,8 +209,8 @@
                 for (auto& to : routers) {
                     bool const is_same = to.domain == from.domain;
                     if (to.name != from.name && is_same != is_domain)
-                        to.ledger.take_report(
-                            report, is_same ? source_place::own_domain : source_place::elsewhere, now);
+                        to.ledger.apply_report(
+                            report, is_same ? report_origin::own_domain : report_origin::elsewhere, now);
                 }
             };
             auto const steps = *rc::gen::container<std::vector<std::tuple<std::size_t, std::uint16_t, std::size_t>>>(
--- a/tests/dispatch/endpoint_starts_test.cpp
+++ b/tests/dispatch/endpoint_starts_test.cpp
@@ -31,20 +31,20 @@
     void a_new_start_knows_nothing_of_before()
     {
         endpoint_board board(failure_domain("north"));
-        board.take_list({ started("model", first_start) }, at(1000));
+        board.apply_list({ started("model", first_start) }, at(1000));
         auto* const before = board.find(endpoint_name("e1"));
         before->own.running = 2;
-        before->places.note(77, at(1000));
-        before->health.note(attempt_verdict::failed, at(1000));
-        board.take_list({ started("model", first_start + 5000) }, at(6000));
+        before->prompt_cache.record_use(77, at(1000));
+        before->health.record(attempt_verdict::failed, at(1000));
+        board.apply_list({ started("model", first_start + 5000) }, at(6000));
         auto* const after = board.find(endpoint_name("e1"));
         CPPUNIT_ASSERT(after != before);
-        CPPUNIT_ASSERT_EQUAL(0U, after->all_running());
-        CPPUNIT_ASSERT(after->places.used_since({}).empty());
+        CPPUNIT_ASSERT_EQUAL(0U, after->total_running());
+        CPPUNIT_ASSERT(after->prompt_cache.used_since({}).empty());
         // What runs at the start before ends there.
         CPPUNIT_ASSERT(board.find(key_of(endpoint_name("e1"), first_start)) == before);
         before->own.running = 0;
-        board.take_list({ started("model", first_start + 5000) }, at(6100));
+        board.apply_list({ started("model", first_start + 5000) }, at(6100));
         CPPUNIT_ASSERT(board.find(key_of(endpoint_name("e1"), first_start)) == nullptr);
         CPPUNIT_ASSERT(board.find(endpoint_name("e1")) == after);
     }
@@ -66,18 +66,18 @@
     void others_words_of_the_start_before_do_not_count()
     {
         endpoint_board board(failure_domain("north"));
-        board.take_list({ started("model", first_start + 5000) }, at(6000));
+        board.apply_list({ started("model", first_start + 5000) }, at(6000));
         peer_report report;
         report.peer = vm_name("b");
         report.loads = { { key_of(endpoint_name("e1"), first_start), { 3, 9000, 9000 }, { 0, 5000 } } };
         report.parts = { { key_of(endpoint_name("e1"), first_start), 77 } };
-        board.take_report(report, source_place::own_domain, at(6000));
+        board.apply_report(report, report_origin::own_domain, at(6000));
         auto* const endpoint = board.find(endpoint_name("e1"));
-        CPPUNIT_ASSERT_EQUAL(0U, endpoint->all_running());
-        CPPUNIT_ASSERT(endpoint->places.used_since({}).empty());
+        CPPUNIT_ASSERT_EQUAL(0U, endpoint->total_running());
+        CPPUNIT_ASSERT(endpoint->prompt_cache.used_since({}).empty());
         report.loads[0].endpoint = key_of(endpoint_name("e1"), first_start + 5000);
-        board.take_report(report, source_place::own_domain, at(6000));
-        CPPUNIT_ASSERT_EQUAL(3U, endpoint->all_running());
+        board.apply_report(report, report_origin::own_domain, at(6000));
+        CPPUNIT_ASSERT_EQUAL(3U, endpoint->total_running());
     }
 
     void a_repeatable_request_there_is_sent_again_at_once()
--- a/tests/dispatch/engine_pace_test.cpp
+++ b/tests/dispatch/engine_pace_test.cpp
@@ -21,41 +21,42 @@
     CPPUNIT_TEST_SUITE_END();
 
     // As long as the boards guess.
-    static constexpr double bare_ms = 52;
+    static constexpr double base_ms = 52;
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static pool_pace make_pool(token_count tokens_per_second = 50000, std::size_t endpoints = 1)
+    static pool_prefill_rate make_pool(token_count tokens_per_second = 50000, std::size_t endpoints = 1)
     {
-        pool_pace pool;
-        pool.expect(tokens_per_second, endpoints, 6);
+        pool_prefill_rate pool;
+        pool.set_prior(tokens_per_second, endpoints, 6);
         return pool;
     }
 
-    static engine_pace make_engine(pool_pace const& pool, instant now)
+    static engine_prefill_rate make_engine(pool_prefill_rate const& pool, instant now)
     {
-        engine_pace engine;
+        engine_prefill_rate engine;
         engine.update(pool, now);
         return engine;
     }
 
-    static engine_run make_run(engine_pace const& engine, pool_pace const& pool, token_count unread, token_count unkept)
+    static engine_run make_run(engine_prefill_rate const& engine, pool_prefill_rate const& pool, token_count unread,
+        token_count uncached_tokens)
     {
-        return engine.begin(unread, unkept, 0, pool);
+        return engine.start_run(unread, uncached_tokens, 0, pool);
     }
 
     void unread_prompts_come_before_the_own_one()
     {
         auto const pool = make_pool();
         auto const engine = make_engine(pool, at(1000));
-        auto const idle = engine.forecast(0, 3000, pool);
-        auto const busy = engine.forecast(6000, 3000, pool);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, idle.before_ms, 0.01);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(60, idle.own_reading_ms, 0.01);
+        auto const idle = engine.estimate(0, 3000, pool);
+        auto const busy = engine.estimate(6000, 3000, pool);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, idle.queue_ms, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(60, idle.own_prefill_ms, 0.01);
         // What was read in the time of a bare first event still counts as unread.
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(120 - idle.bare_ms, busy.before_ms, 0.01);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(idle.total_ms() + busy.before_ms, busy.total_ms(), 0.01);
-        CPPUNIT_ASSERT(busy.reading_part() > idle.reading_part());
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(120 - idle.base_ms, busy.queue_ms, 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(idle.total_ms() + busy.queue_ms, busy.total_ms(), 0.01);
+        CPPUNIT_ASSERT(busy.prefill_fraction() > idle.prefill_fraction());
     }
 
     void the_first_guess_is_what_endpoints_produce()
@@ -77,29 +78,29 @@
             auto const prompts = *rc::gen::container<std::vector<std::pair<int, int>>>(
                 20, rc::gen::pair(rc::gen::inRange(100, 1000), rc::gen::inRange(2000, 9000)));
             endpoint_board board(failure_domain("north"));
-            board.take_pools(dispatch_driver::usual_configuration().pools, token_count { guess } * 1000);
-            board.take_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
+            board.apply_pools(dispatch_driver::usual_configuration().pools, token_count { guess } * 1000);
+            board.apply_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
             endpoint_choice chosen;
             chosen.endpoint = board.find(endpoint_name("e1"));
             std::int64_t now = 1000;
             auto const show = [&](int prompt) {
                 now += 75;
-                chosen.unkept = prompt;
-                auto run = board.note_attempt(chosen, true, at(now));
-                auto const took = bare_ms + static_cast<double>(prompt) / truth;
-                board.note_overdue(*chosen.endpoint, run, std::max(took - run.forecast.total_ms(), 0.0), at(now));
-                board.note_first_event(*chosen.endpoint, run, took, at(now));
-                board.note_end(*chosen.endpoint, run, endpoint_board::run_end::done, at(now));
+                chosen.uncached_tokens = prompt;
+                auto run = board.record_attempt(chosen, true, at(now));
+                auto const took = base_ms + static_cast<double>(prompt) / truth;
+                board.record_overdue(*chosen.endpoint, run, std::max(took - run.estimate.total_ms(), 0.0), at(now));
+                board.record_first_event(*chosen.endpoint, run, took, at(now));
+                board.record_end(*chosen.endpoint, run, endpoint_board::run_end::done, at(now));
             };
             for (auto const& [small, large] : prompts) {
                 show(small);
                 show(large);
-                board.update_paces(at(now));
+                board.update_rates(at(now));
             }
-            auto const run = board.note_attempt(chosen, true, at(now));
-            auto const comes_after = bare_ms + static_cast<double>(chosen.unkept) / truth;
-            RC_ASSERT(std::abs(std::log(run.forecast.total_ms() / comes_after)) < std::log(1.33));
-            auto const believed = chosen.endpoint->pace.tokens_per_ms();
+            auto const run = board.record_attempt(chosen, true, at(now));
+            auto const comes_after = base_ms + static_cast<double>(chosen.uncached_tokens) / truth;
+            RC_ASSERT(std::abs(std::log(run.estimate.total_ms() / comes_after)) < std::log(1.33));
+            auto const believed = chosen.endpoint->prefill_rate.tokens_per_ms();
             RC_ASSERT(std::abs(std::log(believed / truth)) < std::log(2.0));
         });
     }
@@ -108,11 +109,11 @@
     {
         auto pool = make_pool();
         for (int round = 0; round < 100; ++round)
-            pool.note_bare_first_event(150, 1);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(150, pool.bare_first_event_ms(), 5);
+            pool.record_base_latency(150, 1);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(150, pool.base_latency_ms(), 5);
         // One request that met trouble is no rule.
-        pool.note_bare_first_event(5000, 1);
-        CPPUNIT_ASSERT(pool.bare_first_event_ms() < 165);
+        pool.record_base_latency(5000, 1);
+        CPPUNIT_ASSERT(pool.base_latency_ms() < 165);
     }
 
     void an_overdue_event_slows_the_pace_before_it_comes()
@@ -121,7 +122,7 @@
         auto engine = make_engine(pool, at(1000));
         auto const before = engine.tokens_per_ms();
         auto const run = make_run(engine, pool, 0, 6000);
-        engine.add(engine_pace::seen_in_overdue(run, 1000), at(2000));
+        engine.add(engine_prefill_rate::sample_of_overdue(run, 1000), at(2000));
         engine.update(pool, at(2000));
         CPPUNIT_ASSERT(engine.tokens_per_ms() < before / 4);
     }
@@ -133,7 +134,7 @@
         auto engine = make_engine(pool, at(1000));
         auto const before = engine.tokens_per_ms();
         auto const run = make_run(engine, pool, 0, 6000);
-        engine.add(engine_pace::seen_in_overdue(run, 1500), at(2000));
+        engine.add(engine_prefill_rate::sample_of_overdue(run, 1500), at(2000));
         engine.update(pool, at(12000));
         CPPUNIT_ASSERT(engine.tokens_per_ms() > before * 0.7);
     }
@@ -141,23 +142,23 @@
     void an_engine_that_fails_at_once_does_not_look_idle()
     {
         endpoint_board board(failure_domain("north"));
-        board.take_pools(dispatch_driver::usual_configuration().pools, 50000);
-        board.take_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
+        board.apply_pools(dispatch_driver::usual_configuration().pools, 50000);
+        board.apply_list({ dispatch_driver::make_endpoint("e1", "model", 100) }, at(1000));
         endpoint_choice chosen;
         chosen.endpoint = board.find(endpoint_name("e1"));
-        chosen.unkept = 9000;
-        auto const run = board.note_attempt(chosen, true, at(1000));
-        board.note_end(*chosen.endpoint, run, endpoint_board::run_end::failed, at(1005));
+        chosen.uncached_tokens = 9000;
+        auto const run = board.record_attempt(chosen, true, at(1000));
+        board.record_end(*chosen.endpoint, run, endpoint_board::run_end::failed, at(1005));
         CPPUNIT_ASSERT_EQUAL(0U, chosen.endpoint->own.running);
-        CPPUNIT_ASSERT_EQUAL(token_count { 9000 }, chosen.endpoint->own.unread);
-        board.update_paces(at(1100));
-        CPPUNIT_ASSERT_EQUAL(token_count { 9000 }, chosen.endpoint->own.unread);
-        board.update_paces(at(2000));
-        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, chosen.endpoint->own.unread);
+        CPPUNIT_ASSERT_EQUAL(token_count { 9000 }, chosen.endpoint->own.pending_prefill);
+        board.update_rates(at(1100));
+        CPPUNIT_ASSERT_EQUAL(token_count { 9000 }, chosen.endpoint->own.pending_prefill);
+        board.update_rates(at(2000));
+        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, chosen.endpoint->own.pending_prefill);
         // A caller who leaves takes the prompt along.
-        auto const left = board.note_attempt(chosen, true, at(2000));
-        board.note_end(*chosen.endpoint, left, endpoint_board::run_end::done, at(2005));
-        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, chosen.endpoint->own.unread);
+        auto const left = board.record_attempt(chosen, true, at(2000));
+        board.record_end(*chosen.endpoint, left, endpoint_board::run_end::done, at(2005));
+        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, chosen.endpoint->own.pending_prefill);
     }
 
     void nothing_seen_makes_a_pace_wild()
--- a/tests/dispatch/engine_room_test.cpp
+++ b/tests/dispatch/engine_room_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // Engines with little memory: what fits is sent, what does not waits at the router, and what never fits is refused.
 #include "base/hash.h"
-#include "libraries/dispatch/engines/engine_room.h"
+#include "libraries/dispatch/engines/engine_headroom.h"
 #include "tests/dispatch/dispatch_driver.h"
 #include "tests/support/property.h"
 
@@ -26,24 +26,24 @@
     {
         testing::check_property("room is never promised twice", [] {
             auto const needs = *rc::gen::container<std::vector<token_count>>(rc::gen::inRange<token_count>(1, 400));
-            engine_room room { 1000, 0 };
+            engine_headroom room { 1000, 0 };
             for (auto const needed : needs) {
-                bool const is_empty = room.held == 0;
-                if (!room.has_room_for(needed, 0.9))
+                bool const is_empty = room.kv_tokens == 0;
+                if (!room.has_headroom_for(needed, 0.9))
                     continue;
-                room.held += needed;
-                RC_ASSERT(is_empty || room.held <= 900);
+                room.kv_tokens += needed;
+                RC_ASSERT(is_empty || room.kv_tokens <= 900);
             }
         });
     }
 
     void an_empty_engine_takes_what_fits_at_all()
     {
-        CPPUNIT_ASSERT((engine_room { 1000, 0 }.has_room_for(990, 0.9)));
-        CPPUNIT_ASSERT(!(engine_room { 1000, 1 }.has_room_for(990, 0.9)));
-        CPPUNIT_ASSERT((engine_room { 0, 500 }.has_room_for(100000, 0.9)));
-        CPPUNIT_ASSERT((engine_room { 1000, 0 }.is_too_small_for(1000)));
-        CPPUNIT_ASSERT(!(engine_room { 0, 0 }.is_too_small_for(100000)));
+        CPPUNIT_ASSERT((engine_headroom { 1000, 0 }.has_headroom_for(990, 0.9)));
+        CPPUNIT_ASSERT(!(engine_headroom { 1000, 1 }.has_headroom_for(990, 0.9)));
+        CPPUNIT_ASSERT((engine_headroom { 0, 500 }.has_headroom_for(100000, 0.9)));
+        CPPUNIT_ASSERT((engine_headroom { 1000, 0 }.is_too_small_for(1000)));
+        CPPUNIT_ASSERT(!(engine_headroom { 0, 0 }.is_too_small_for(100000)));
     }
 
     void a_full_engine_is_passed_over()
--- a/tests/dispatch/load_reports_test.cpp
+++ b/tests/dispatch/load_reports_test.cpp
@@ -27,7 +27,7 @@
         entries.reserve(names.size());
         for (auto const* name : names)
             entries.push_back(dispatch_driver::make_endpoint(name, "model", 100));
-        board.take_list(entries, at(1000));
+        board.apply_list(entries, at(1000));
         return board;
     }
 
@@ -56,15 +56,15 @@
         auto& engine = endpoint(board, "e1");
         endpoint_choice chosen;
         chosen.endpoint = &engine;
-        chosen.unkept = 500;
-        auto run = board.note_attempt(chosen, true, at(1000));
+        chosen.uncached_tokens = 500;
+        auto run = board.record_attempt(chosen, true, at(1000));
         auto const sent = board.take_own_loads(report_scope::changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, sent.size());
-        CPPUNIT_ASSERT_EQUAL(token_count { 500 }, sent[0].work.unread);
-        board.note_first_event(engine, run, 50, at(1050));
+        CPPUNIT_ASSERT_EQUAL(token_count { 500 }, sent[0].work.pending_prefill);
+        board.record_first_event(engine, run, 50, at(1050));
         auto const told = board.take_own_loads(report_scope::changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, told.size());
-        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told[0].work.unread);
+        CPPUNIT_ASSERT_EQUAL(token_count { 0 }, told[0].work.pending_prefill);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(500, told[0].prefill.tokens, 0.01);
         CPPUNIT_ASSERT(board.take_own_loads(report_scope::changes).empty());
     }
@@ -85,7 +85,7 @@
         report.peer = vm_name("b");
         report.scope = scope;
         report.loads = from.take_own_loads(scope);
-        to.take_report(report, source_place::own_domain, now);
+        to.apply_report(report, report_origin::own_domain, now);
     }
 
     // After each report the other router counts just what runs here.
--- a/tests/dispatch/overload_guard_test.cpp
+++ b/tests/dispatch/overload_guard_test.cpp
@@ -24,13 +24,13 @@
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
 
-    static void play(overload_guard& guard, double busy_part, int ticks)
+    static void play(overload_guard& guard, double busy_fraction, int ticks)
     {
         for (int tick = 0; tick < ticks; ++tick)
-            guard.note_tick({ in_time, busy_part, 0 });
+            guard.record_tick({ in_time, busy_fraction, 0 });
     }
 
-    static int refused_of_thousand(overload_guard const& guard, team_standing standing)
+    static int refused_of_thousand(overload_guard const& guard, share_status standing)
     {
         int refused = 0;
         for (std::uint64_t draw = 0; draw < 1000; ++draw)
@@ -42,8 +42,8 @@
     static std::int64_t overload_from(overload_guard& guard, std::int64_t time)
     {
         for (auto now = time; now < time + 5000; now += 20) {
-            guard.note_tick({ in_time, 1, 0 });
-            if (guard.update_aside({ routers, 0, 0.3 }, at(now)))
+            guard.record_tick({ in_time, 1, 0 });
+            if (guard.update_overload_state({ routers, 0, 0.3 }, at(now)))
                 return now;
         }
         return 0;
@@ -54,8 +54,8 @@
     {
         auto now = time;
         for (; guard.is_overloaded() && now < time + 100000; now += 20) {
-            guard.note_tick({ in_time, 0.2, 0 });
-            (void)guard.update_aside({ routers, 0, 0.3 }, at(now));
+            guard.record_tick({ in_time, 0.2, 0 });
+            (void)guard.update_overload_state({ routers, 0, 0.3 }, at(now));
         }
         return now;
     }
@@ -65,20 +65,20 @@
         overload_guard guard;
         play(guard, 0.8, 1000);
         CPPUNIT_ASSERT(!guard.is_behind());
-        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, team_standing::ahead));
+        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, share_status::ahead));
     }
 
     void a_router_that_never_waits_refuses_more_and_more()
     {
         overload_guard guard;
         play(guard, 1, 30);
-        auto const at_first = refused_of_thousand(guard, team_standing::within_share);
+        auto const at_first = refused_of_thousand(guard, share_status::within_share);
         play(guard, 1, 30);
-        auto const later = refused_of_thousand(guard, team_standing::within_share);
+        auto const later = refused_of_thousand(guard, share_status::within_share);
         CPPUNIT_ASSERT(guard.is_behind());
         CPPUNIT_ASSERT(at_first > 0 && later > at_first && later < 1000);
         play(guard, 0.2, 200);
-        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, team_standing::within_share));
+        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, share_status::within_share));
     }
 
     // A router that a few busy callers came to had a link of 10 Mbit/s full while its processor was used by a third:
@@ -87,14 +87,14 @@
     {
         overload_guard guard;
         for (int tick = 0; tick < 300; ++tick)
-            guard.note_tick({ in_time, 0.3, 0.7 });
+            guard.record_tick({ in_time, 0.3, 0.7 });
         CPPUNIT_ASSERT(!guard.is_behind());
-        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, team_standing::ahead));
+        CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, share_status::ahead));
         for (int tick = 0; tick < 300; ++tick)
-            guard.note_tick({ in_time, 0.3, 0.95 });
+            guard.record_tick({ in_time, 0.3, 0.95 });
         CPPUNIT_ASSERT(guard.is_behind());
-        CPPUNIT_ASSERT(refused_of_thousand(guard, team_standing::within_share) > 0);
-        CPPUNIT_ASSERT(guard.busy_part() > 0.9);
+        CPPUNIT_ASSERT(refused_of_thousand(guard, share_status::within_share) > 0);
+        CPPUNIT_ASSERT(guard.busy_fraction() > 0.9);
     }
 
     // A body of 64 kB fills such a link for 50 ms: that alone is none.
@@ -102,7 +102,7 @@
     {
         overload_guard guard;
         for (int tick = 0; tick < 300; ++tick)
-            guard.note_tick({ in_time, 0.3, tick % 20 < 6 ? 1.0 : 0.2 });
+            guard.record_tick({ in_time, 0.3, tick % 20 < 6 ? 1.0 : 0.2 });
         CPPUNIT_ASSERT(!guard.is_behind());
     }
 
@@ -110,15 +110,15 @@
     {
         overload_guard guard;
         play(guard, 1, 26);
-        auto const within = refused_of_thousand(guard, team_standing::within_share);
-        auto const past = refused_of_thousand(guard, team_standing::past_share);
-        auto const ahead = refused_of_thousand(guard, team_standing::ahead);
+        auto const within = refused_of_thousand(guard, share_status::within_share);
+        auto const past = refused_of_thousand(guard, share_status::past_share);
+        auto const ahead = refused_of_thousand(guard, share_status::ahead);
         CPPUNIT_ASSERT(within < past && past < ahead);
         overload_guard late;
         for (int tick = 0; tick < 50; ++tick)
-            late.note_tick({ milliseconds(100), 0.5, 0 });
-        CPPUNIT_ASSERT_EQUAL(1000, refused_of_thousand(late, team_standing::past_share));
-        CPPUNIT_ASSERT(refused_of_thousand(late, team_standing::within_share) < 1000);
+            late.record_tick({ milliseconds(100), 0.5, 0 });
+        CPPUNIT_ASSERT_EQUAL(1000, refused_of_thousand(late, share_status::past_share));
+        CPPUNIT_ASSERT(refused_of_thousand(late, share_status::within_share) < 1000);
     }
 
     void a_lasting_overload_makes_it_step_aside_and_come_back()
@@ -135,18 +135,18 @@
     {
         overload_guard guard;
         play(guard, 1, 100);
-        CPPUNIT_ASSERT(!guard.update_aside({ routers, 2, 0.3 }, at(1000)));
-        CPPUNIT_ASSERT(!guard.update_aside({ routers, 2, 0.3 }, at(3000)));
-        CPPUNIT_ASSERT(guard.update_aside({ routers, 1, 0.3 }, at(3100)));
+        CPPUNIT_ASSERT(!guard.update_overload_state({ routers, 2, 0.3 }, at(1000)));
+        CPPUNIT_ASSERT(!guard.update_overload_state({ routers, 2, 0.3 }, at(3000)));
+        CPPUNIT_ASSERT(guard.update_overload_state({ routers, 1, 0.3 }, at(3100)));
     }
 
     void nobody_steps_aside_where_all_are_overloaded()
     {
         overload_guard guard;
         play(guard, 1, 100);
-        CPPUNIT_ASSERT(!guard.update_aside({ routers, 0, 0.9 }, at(1000)));
-        CPPUNIT_ASSERT(!guard.update_aside({ routers, 0, 0.9 }, at(3000)));
-        CPPUNIT_ASSERT(guard.update_aside({ routers, 0, 0.4 }, at(3100)));
+        CPPUNIT_ASSERT(!guard.update_overload_state({ routers, 0, 0.9 }, at(1000)));
+        CPPUNIT_ASSERT(!guard.update_overload_state({ routers, 0, 0.9 }, at(3000)));
+        CPPUNIT_ASSERT(guard.update_overload_state({ routers, 0, 0.4 }, at(3100)));
     }
 
     void an_overload_that_comes_again_keeps_it_aside_longer()
--- a/tests/dispatch/pool_scarcity_test.cpp
+++ b/tests/dispatch/pool_scarcity_test.cpp
@@ -20,7 +20,7 @@
 
     struct engine_load {
         engine_work work;
-        double before_ms { 0 };
+        double queue_ms { 0 };
     };
 
     static double scarcity_of(std::vector<engine_load> const& engines, engine_size size = usual_size)
@@ -28,7 +28,7 @@
         dispatch_policy const policy;
         pool_scarcity use(policy);
         for (auto const& engine : engines)
-            use.add(size, engine.work, engine.before_ms);
+            use.add(size, engine.work, engine.queue_ms);
         return use.scarcity();
     }
 
@@ -54,8 +54,8 @@
         std::vector<engine_load> engines(static_cast<std::size_t>(*rc::gen::inRange(1, 60)));
         for (auto& engine : engines) {
             engine.work.running = *rc::gen::inRange<std::uint32_t>(0, 12);
-            engine.work.held = *rc::gen::inRange<token_count>(0, 200000);
-            engine.before_ms = *rc::gen::inRange(0, 100);
+            engine.work.kv_tokens = *rc::gen::inRange<token_count>(0, 200000);
+            engine.queue_ms = *rc::gen::inRange(0, 100);
         }
         return engines;
     }
@@ -67,8 +67,8 @@
             auto const before = scarcity_of(engines);
             auto& busier = engines.at(*rc::gen::inRange<std::size_t>(0, engines.size()));
             busier.work.running += *rc::gen::inRange<std::uint32_t>(0, 10);
-            busier.work.held += *rc::gen::inRange<token_count>(0, 100000);
-            busier.before_ms += *rc::gen::inRange(0, 100);
+            busier.work.kv_tokens += *rc::gen::inRange<token_count>(0, 100000);
+            busier.queue_ms += *rc::gen::inRange(0, 100);
             auto const after = scarcity_of(engines);
             RC_ASSERT(after >= before);
             RC_ASSERT(before >= 0 && after <= 1);
@@ -83,13 +83,13 @@
             std::vector<engine_load> engines(static_cast<std::size_t>(*rc::gen::inRange(1, 60)));
             for (auto& engine : engines) {
                 engine.work.running = *rc::gen::inRange<std::uint32_t>(0, 4);
-                engine.before_ms = *rc::gen::inRange(0, 8) == 0 ? *rc::gen::inRange(0, 100) : 0;
+                engine.queue_ms = *rc::gen::inRange(0, 8) == 0 ? *rc::gen::inRange(0, 100) : 0;
             }
             dispatch_policy const policy;
             RC_PRE(scarcity_of(engines) == 0);
             std::size_t idle = 0;
             for (auto const& engine : engines)
-                idle += engine.before_ms <= policy.idle_reading_ms ? 1 : 0;
+                idle += engine.queue_ms <= policy.idle_reading_ms ? 1 : 0;
             auto const idle_part = static_cast<double>(idle) / static_cast<double>(engines.size());
             RC_ASSERT(idle_part >= 1 - policy.scarce_from);
         });
--- a/tests/peering/peer_message_test.cpp
+++ b/tests/peering/peer_message_test.cpp
@@ -59,8 +59,8 @@
 
     static std::string load_text_of(dispatch::endpoint_load const& load)
     {
-        return std::to_string(load.work.running) + " " + std::to_string(load.work.unread) + " "
-            + std::to_string(load.work.held) + " " + std::to_string(load.prefill.tokens) + " "
+        return std::to_string(load.work.running) + " " + std::to_string(load.work.pending_prefill) + " "
+            + std::to_string(load.work.kv_tokens) + " " + std::to_string(load.prefill.tokens) + " "
             + std::to_string(load.prefill.time_ms) + " ";
     }
 
