--- a/libraries/dispatch/dispatch_reducer.h
+++ b/libraries/dispatch/dispatch_reducer.h
@@ -66,7 +66,7 @@
 
     // Returns the report for the other routers, with the prompt parts sent since the last call.
     [[nodiscard]] peer_report take_own_report(report_scope scope, instant now);
-    // Returns the report for other failure domains. It is whole if the last one was more than a second ago.
+    // Returns the report for other failure domains. It is whole if the last one was a second or more ago.
     [[nodiscard]] peer_report take_domain_report(report_scope scope, instant now);
     [[nodiscard]] std::vector<crash_record> crash_records(instant now) const { return m_suspects.all_records(now); }
     // Returns the quarantines that this router stores so that they outlive its process.
--- a/libraries/dispatch/store/store_watchers.cpp
+++ b/libraries/dispatch/store/store_watchers.cpp
@@ -128,8 +128,8 @@
         return call_terms { short_poll_wait };
     // The wait of the list's long poll is reduced by the time since the last answer, so that the store answers at
     // regular intervals, whatever the poll interval is.
-    auto const unheard = std::min(now - state.answered_at, m_terms.of(table).wait);
-    return call_terms { table == table_name::endpoints ? m_terms.of(table).wait - unheard : milliseconds::max() };
+    auto const since_answer = std::min(now - state.answered_at, m_terms.of(table).wait);
+    return call_terms { table == table_name::endpoints ? m_terms.of(table).wait - since_answer : milliseconds::max() };
 }
 
 std::optional<call_terms> store_watchers::terms_for_probe(table_name table, instant now) const
--- a/libraries/dispatch/types.h
+++ b/libraries/dispatch/types.h
@@ -33,6 +33,7 @@
 
 enum class answer_form { whole, stream };
 
+// A pool that serves a route, and its weight in the route's traffic split.
 struct weighted_pool {
     pool_name pool;
     std::uint32_t weight { 1 };
@@ -40,6 +41,7 @@
     bool operator==(weighted_pool const&) const = default;
 };
 
+// Describes how the requests of one host and path prefix are served.
 struct route {
     std::string name;
     std::string host;
@@ -64,6 +66,7 @@
     bool operator==(route const&) const = default;
 };
 
+// Describes the endpoints that run one model or plain service.
 struct pool_settings {
     pool_name name;
     std::uint32_t max_connections { 0 };
@@ -79,6 +82,7 @@
     [[nodiscard]] bool is_engine() const { return engine_slots > 0; }
 };
 
+// A team of callers, which the API keys in its callers' requests identify.
 struct team_settings {
     team_name name;
     std::vector<std::string> keys;
