--- a/base/boot_clock.cpp
+++ b/base/boot_clock.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// By the system's call.
+// Implements boot_clock by clock_gettime(CLOCK_BOOTTIME).
 #include "base/boot_clock.h"
 
 #include <ctime>
--- a/base/boot_clock.h
+++ b/base/boot_clock.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The clock of all that is held against time: deadlines, ages of what others told, rests, leases.
+// The clock for deadlines, ages of received reports, back-off periods and leases.
 #pragma once
 
 #include <chrono>
 
 namespace shedhill {
 
-// Counts the time in which the machine was suspended, which std::chrono::steady_clock leaves out: what is held there
-// would seem younger than it is. Nobody sets it.
+// A monotonic clock that includes the time in which the system was suspended. std::chrono::steady_clock excludes that
+// time, so that data stamped with it would seem younger than it is. Adjustments of the wall clock don't affect it.
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
--- a/base/error.h
+++ b/base/error.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Errors as values. Each names the step that failed and the peer at which it arose.
+// Errors as values. Each error names the operation that failed, the other party and the reason.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 namespace shedhill {
 
 struct error {
-    // What was being done, for example "read frame".
+    // The operation that failed, for example "read frame".
     std::string step;
-    // With whom: a VM, an address, a file. Empty where no one else took part.
+    // The VM, address or file involved. Empty if the operation has no other party.
     std::string peer;
     std::string reason;
 
@@ -33,8 +33,8 @@
 
 } // namespace shedhill
 
-// Passes an error on to the caller in one line, or yields the value.
-// NOTE: This relies on statement expressions, which both g++ and clang++ have.
+// Evaluates to the value of a result, or returns its error from the enclosing function.
+// NOTE: This relies on statement expressions, a GNU extension that both g++ and clang++ support.
 #define TRY(expression)                                                               \
     __extension__({                                                                   \
         auto try_outcome = (expression);                                              \
@@ -43,6 +43,7 @@
         std::move(try_outcome).value();                                               \
     })
 
+// Returns the error of a result<void> from the enclosing function.
 #define TRY_VOID(expression)                                                          \
     do {                                                                              \
         if (auto try_outcome = (expression); !try_outcome)                            \
--- a/base/hash.cpp
+++ b/base/hash.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Stable hashes by xxHash.
+// Implements the stable hashes by XXH64.
 #include "base/hash.h"
 
 #include <xxhash.h>
@@ -10,9 +10,9 @@
 
 std::uint64_t rendezvous_weight(std::uint64_t key, std::string_view candidate) { return stable_hash(candidate, key); }
 
-double unit_share(std::uint64_t hash)
+double hash_to_unit_interval(std::uint64_t hash)
 {
-    // A double holds 53 bits.
+    // A double has a 53-bit significand, so the top 53 bits of the hash are used.
     return static_cast<double>(hash >> 11U) * 0x1.0p-53;
 }
 
@@ -20,9 +20,9 @@
 
 endpoint_key key_of(endpoint_name const& endpoint) { return endpoint_key(stable_hash(endpoint.value())); }
 
-endpoint_key key_of(endpoint_name const& endpoint, std::uint64_t start)
+endpoint_key key_of(endpoint_name const& endpoint, std::uint64_t instance)
 {
-    return endpoint_key(stable_hash(endpoint.value(), start));
+    return endpoint_key(stable_hash(endpoint.value(), instance));
 }
 
 account_id account_of(team_name const& team, pool_name const& pool)
--- a/base/hash.h
+++ b/base/hash.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Stable hashes: the same on every process of the fleet, so that all agree on who is home for what.
+// Hashes that are the same in every process of the fleet, so that all processes agree on which router aggregates which
+// account.
 #pragma once
 
 #include "base/identifiers.h"
@@ -11,17 +12,19 @@
 
 std::uint64_t stable_hash(std::string_view text, std::uint64_t seed = 0);
 
-// Rendezvous hashing: of the candidates for a key, the one with the largest weight is chosen.
+// Rendezvous (highest random weight) hashing: the candidate with the largest weight for a key is chosen.
 std::uint64_t rendezvous_weight(std::uint64_t key, std::string_view candidate);
 
-// A hash as a number from 0 up to 1.
-double unit_share(std::uint64_t hash);
+// Maps a hash to the interval [0, 1).
+double hash_to_unit_interval(std::uint64_t hash);
 
 team_key key_of(team_name const& team);
 endpoint_key key_of(endpoint_name const& endpoint);
-// Of one start of the endpoint under its name; 0 where it does not tell its starts apart.
-endpoint_key key_of(endpoint_name const& endpoint, std::uint64_t start);
+// Identifies one instance of the process behind an endpoint name. The instance is 0 if the endpoint does not
+// distinguish its instances.
+endpoint_key key_of(endpoint_name const& endpoint, std::uint64_t instance);
 
+// The account that holds the service of a team in a pool.
 account_id account_of(team_name const& team, pool_name const& pool);
 
 } // namespace shedhill
--- a/base/random_draw.h
+++ b/base/random_generator.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Random numbers for one step of a reducer, derived from the draw that came with the event (splitmix64).
+// Pseudo-random numbers for one step of a reducer (splitmix64), seeded by the random number that the event carries.
 #pragma once
 
 #include <cstddef>
@@ -7,9 +7,9 @@
 
 namespace shedhill {
 
-class random_draw {
+class random_generator {
 public:
-    explicit random_draw(std::uint64_t seed)
+    explicit random_generator(std::uint64_t seed)
         : m_state(seed)
     {
     }
@@ -23,8 +23,8 @@
         return mixed ^ (mixed >> 31);
     }
 
-    // A number below the bound, which must not be zero.
-    std::size_t below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
+    // Returns a number from 0 to bound - 1. The bound must not be zero.
+    std::size_t next_below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
 
 private:
     std::uint64_t m_state;
--- a/base/strong_type.h
+++ b/base/strong_type.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A value with a type of its own, so that ids and units of different kinds cannot be mixed up.
+// Wraps a value in a distinct type, so that the compiler rejects mixing identifiers of different kinds.
 #pragma once
 
 #include <compare>
--- a/base/units.h
+++ b/base/units.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Time and service. The reducers read no clock: every event carries an instant of this logical clock.
+// Units of time and service. Reducers don't read a clock: every event carries a time point of logical_clock.
 #pragma once
 
 #include "base/strong_type.h"
@@ -9,6 +9,7 @@
 
 namespace shedhill {
 
+// A clock with a resolution of one millisecond. It has no now(): the process that creates an event supplies the time.
 struct logical_clock {
     using rep = std::int64_t;
     using period = std::milli;
@@ -20,7 +21,8 @@
 using milliseconds = logical_clock::duration;
 using instant = logical_clock::time_point;
 
-// Service received: thousandths of a weighted token for model engines, milliseconds of a busy slot for plain services.
+// An amount of service: thousandths of a weighted token for model engines, milliseconds of slot occupancy for plain
+// services.
 class service_units {
 public:
     constexpr service_units() = default;
@@ -49,7 +51,7 @@
     std::int64_t m_value { 0 };
 };
 
-// What a unit of each kind of token counts for, in thousandths of a weighted token.
+// The cost of one token of each kind, in thousandths of a weighted token.
 struct token_weights {
     std::int64_t prompt { 250 };
     std::int64_t cached_prompt { 25 };
--- a/base/verify.cpp
+++ b/base/verify.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Reports a broken invariant and ends the process.
+// Reports a violated invariant on standard error and aborts the process.
 #include "base/verify.h"
 
 #include <cstdlib>
@@ -7,11 +7,11 @@
 
 namespace shedhill {
 
-void verify(bool is_true, char const* invariant, boost::source_location where)
+void verify(bool condition, char const* invariant, boost::source_location location)
 {
-    if (is_true)
+    if (condition)
         return;
-    std::cerr << "broken invariant: " << invariant << " (" << where.file_name() << ':' << where.line() << ")\n";
+    std::cerr << "broken invariant: " << invariant << " (" << location.file_name() << ':' << location.line() << ")\n";
     std::abort();
 }
 
--- a/base/verify.h
+++ b/base/verify.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Invariants that hold unless this program is wrong. Input is never checked this way.
+// Checks internal invariants. A violation is a programming error; input is validated by other means.
 #pragma once
 
 #include <boost/assert/source_location.hpp>
 
 namespace shedhill {
 
-// Ends the process with the place and the text of the broken invariant.
-void verify(bool is_true, char const* invariant, boost::source_location where = BOOST_CURRENT_LOCATION);
+// Aborts the process if the condition is false, after printing the invariant's text and the source location.
+void verify(bool condition, char const* invariant, boost::source_location location = BOOST_CURRENT_LOCATION);
 
 } // namespace shedhill
--- a/libraries/config/catalog.cpp
+++ b/libraries/config/catalog.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Applies changes in order and answers which team may go where.
+// Applies configuration changes in order and decides which team may use which endpoint.
 #include "libraries/config/catalog.h"
 
 namespace shedhill::config {
 
-bool catalog::apply(revision next, change const& made)
+bool catalog::apply(revision next, change const& update)
 {
     if (next.value() != m_revision.value() + 1)
         return false;
-    for (auto const& key : made.removals)
+    for (auto const& key : update.removals)
         remove(key);
-    for (auto const& declared : made.puts)
+    for (auto const& declared : update.puts)
         put(declared);
     m_revision = next;
     return true;
@@ -21,7 +21,7 @@
     boost::system::error_code failure;
     auto const json = boost::json::parse(text, failure);
     if (failure || !json.is_object())
-        return fail("load snapshot", "", "not a JSON object");
+        return fail("load snapshot", "", "the snapshot is not a JSON object");
     auto const* number = json.as_object().if_contains("revision");
     auto const* listed = json.as_object().if_contains("objects");
     if (number == nullptr || listed == nullptr || !listed->is_array())
@@ -86,9 +86,9 @@
     return found == m_objects.end() ? nullptr : &found->second;
 }
 
-reach_verdict catalog::explain(team const& from, endpoint const& to) const
+access_decision catalog::explain(team const& from, endpoint const& to) const
 {
-    reach_verdict verdict;
+    access_decision verdict;
     auto const team_labels = selectable_labels(from);
     auto const endpoint_labels = selectable_labels(to);
     verdict.is_own = from.partner == to.partner;
--- a/libraries/config/catalog.h
+++ b/libraries/config/catalog.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The configuration in force at one process: all declared objects at one revision, and what they allow.
+// The active configuration of one process: all declared objects at one revision, and the access decisions that follow
+// from them.
 #pragma once
 
 #include "libraries/config/change.h"
@@ -12,37 +13,38 @@
 
 namespace shedhill::config {
 
-// An endpoint that its partner has labelled so ("true") gets no new work.
+// The label by which a partner drains an endpoint: with the value "true" the endpoint receives no new requests.
 constexpr char const* drain_label = "drain";
 
-// Why a team may or may not go to an endpoint.
-struct reach_verdict {
+// Whether a team may use an endpoint, and why.
+struct access_decision {
     bool is_allowed { false };
     // The team and the endpoint belong to the same partner.
     bool is_own { false };
-    // The endpoint's partner serves its own teams first there.
+    // The endpoint's partner gives its own teams priority at this endpoint.
     bool is_own_first { false };
-    // The policies that decided it; empty where none matched.
+    // The names of the matching policies; empty if none matches.
     std::string use_policy;
     std::string share_policy;
     std::string reason;
 };
 
+// All declared objects at one revision. The revision never decreases.
 class catalog {
 public:
     catalog() = default;
-    // Moves keep the addresses that m_policies holds; a copy would not.
+    // Moving a std::map keeps the addresses of its elements, to which m_policies points; copying would not.
     catalog(catalog const&) = delete;
     catalog& operator=(catalog const&) = delete;
     catalog(catalog&&) = default;
     catalog& operator=(catalog&&) = default;
     ~catalog() = default;
 
-    // Applies the next change. Returns false, and changes nothing, if it is not the next one: a catalog never goes
-    // back.
-    bool apply(revision next, change const& made);
+    // Applies the change with the next revision. Returns false, and changes nothing, if the revision does not follow
+    // the current one.
+    bool apply(revision next, change const& update);
 
-    // Replaces everything by a snapshot, if that is newer.
+    // Replaces all objects by those of a snapshot. Returns false, and changes nothing, if the snapshot is not newer.
     result<bool> load_snapshot(std::string_view text);
     [[nodiscard]] std::string snapshot() const;
 
@@ -54,9 +56,9 @@
     [[nodiscard]] object const* find_object(std::string const& key) const;
     [[nodiscard]] std::map<std::string, object> const& objects() const { return m_objects; }
 
-    // A team may use an endpoint if a use policy of its own partner selects both and, where the endpoint belongs to the
-    // other partner, a share policy of that partner selects both too.
-    [[nodiscard]] reach_verdict explain(team const& from, endpoint const& to) const;
+    // Decides whether a team may use an endpoint. A use policy of the team's partner must select both. If the endpoint
+    // belongs to another partner, a share policy of that partner must select both as well.
+    [[nodiscard]] access_decision explain(team const& from, endpoint const& to) const;
 
 private:
     void put(object const& declared);
@@ -67,11 +69,11 @@
     // Never decreases.
     revision m_revision {};
     std::map<std::string, object> m_objects;
-    // Derived from m_objects: key hash to the key of its team.
+    // Derived from m_objects: maps the hash of an API key to the key of its team.
     std::unordered_map<std::string, std::string> m_team_by_key_hash;
-    // Derived from m_objects: the keys of all policies.
+    // Derived from m_objects: maps the key of each policy to the object.
     std::map<std::string, policy const*> m_policies;
-    // Derived from m_objects.
+    // Derived from m_objects: the endpoints of each pool.
     std::map<pool_name, std::set<endpoint_name>> m_endpoints_by_pool;
 };
 
--- a/libraries/config/change.cpp
+++ b/libraries/config/change.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Changes as JSON, and the rule that partners keep to their own objects.
+// Converts changes to and from JSON, and checks that a change modifies only its author's objects.
 #include "libraries/config/change.h"
 
 namespace shedhill::config {
@@ -35,7 +35,7 @@
     boost::system::error_code failure;
     auto const json = boost::json::parse(text, failure);
     if (failure || !json.is_object())
-        return fail("parse change", "", "not a JSON object");
+        return fail("parse change", "", "the change is not a JSON object");
     auto const& members = json.as_object();
     change parsed;
     parsed.id = TRY(string_member(members, "id"));
@@ -50,27 +50,27 @@
     return parsed;
 }
 
-std::string serialize_change(change const& made)
+std::string serialize_change(change const& update)
 {
     boost::json::array puts;
-    for (auto const& put : made.puts)
+    for (auto const& put : update.puts)
         puts.push_back(to_json(put));
     boost::json::array removals;
-    for (auto const& key : made.removals)
+    for (auto const& key : update.removals)
         removals.emplace_back(key);
-    return boost::json::serialize(boost::json::object { { "id", made.id }, { "author", made.author.value() },
+    return boost::json::serialize(boost::json::object { { "id", update.id }, { "author", update.author.value() },
         { "puts", std::move(puts) }, { "removals", std::move(removals) } });
 }
 
-result<void> check_ownership(change const& made)
+result<void> check_ownership(change const& update)
 {
-    for (auto const& put : made.puts) {
-        if (object_partner(put) != made.author)
-            return fail("check change", made.author.value(), object_key(put) + " belongs to another partner");
+    for (auto const& put : update.puts) {
+        if (object_partner(put) != update.author)
+            return fail("check change", update.author.value(), object_key(put) + " belongs to another partner");
     }
-    for (auto const& key : made.removals) {
-        if (!is_key_of(key, made.author))
-            return fail("check change", made.author.value(), key + " belongs to another partner");
+    for (auto const& key : update.removals) {
+        if (!is_key_of(key, update.author))
+            return fail("check change", update.author.value(), key + " belongs to another partner");
     }
     return {};
 }
--- a/libraries/config/objects.cpp
+++ b/libraries/config/objects.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Parsing, checking and printing of declared objects. A bad declaration is refused with the field and the reason.
+// Parses, validates and serializes declared objects. The error for an invalid declaration names the field and the
+// reason.
 #include "libraries/config/objects.h"
 
 #include <algorithm>
@@ -11,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t most_name_length = 100;
+constexpr std::size_t max_name_length = 100;
 constexpr std::size_t key_hash_length = 64;
-constexpr std::uint32_t most_weight = 1000;
-constexpr std::uint32_t most_queue_bound = 100000;
+constexpr std::uint32_t max_weight = 1000;
+constexpr std::uint32_t max_queue_bound = 100000;
 
 bool is_name_character(char character)
 {
@@ -24,15 +25,15 @@
 
 bool is_valid_name(std::string_view name)
 {
-    return !name.empty() && name.size() <= most_name_length && std::ranges::all_of(name, is_name_character);
+    return !name.empty() && name.size() <= max_name_length && std::ranges::all_of(name, is_name_character);
 }
 
-// Reads the fields of one object and remembers which it has seen, so that misspelt ones can be refused.
+// Reads the fields of one object and records which fields are known, so that misspelt fields are refused.
 class field_reader {
 public:
-    field_reader(boost::json::object const& fields, std::string where)
+    field_reader(boost::json::object const& fields, std::string declaration)
         : m_fields(fields)
-        , m_where(std::move(where))
+        , m_declaration(std::move(declaration))
     {
     }
 
@@ -55,16 +56,15 @@
     }
 
     result<std::uint32_t> optional_number(
-        std::string const& field, std::uint32_t fallback, std::uint32_t least, std::uint32_t most)
+        std::string const& field, std::uint32_t fallback, std::uint32_t min, std::uint32_t max)
     {
         auto const* value = find(field);
         if (value == nullptr)
             return fallback;
         boost::system::error_code failure;
         auto const number = value->to_number<std::int64_t>(failure);
-        if (failure || number < least || number > most)
-            return refuse(
-                field, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+        if (failure || number < min || number > max)
+            return refuse(field, "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
         return static_cast<std::uint32_t>(number);
     }
 
@@ -88,7 +88,7 @@
             return refuse(field, "must be an object of strings");
         for (auto const& [label, content] : value->as_object()) {
             if (!content.is_string() || !is_valid_name(label))
-                return refuse(field, "label '" + std::string(label) + "' must be a name with a string");
+                return refuse(field, "label '" + std::string(label) + "' must be a valid name with a string value");
             if (is_built_in_label(label))
                 return refuse(field, "label '" + std::string(label) + "' is built in and cannot be declared");
             labels.emplace(label, content.as_string());
@@ -125,7 +125,7 @@
     result<void> refuse_unknown_fields()
     {
         for (auto const& [field, value] : m_fields) {
-            if (!m_known.contains(field))
+            if (!m_known_fields.contains(field))
                 return refuse(field, "is not a known field");
         }
         return {};
@@ -133,7 +133,7 @@
 
     [[nodiscard]] tl::unexpected<error> refuse(std::string const& field, std::string const& reason) const
     {
-        return fail("parse declaration", m_where, "field '" + field + "' " + reason);
+        return fail("parse declaration", m_declaration, "field '" + field + "' " + reason);
     }
 
 private:
@@ -144,7 +144,7 @@
 
     boost::json::value const* find(std::string const& field)
     {
-        m_known.insert(field);
+        m_known_fields.insert(field);
         return m_fields.if_contains(field);
     }
 
@@ -162,8 +162,8 @@
     }
 
     boost::json::object const& m_fields;
-    std::string m_where;
-    std::set<std::string, std::less<>> m_known { "kind", "name", "partner" };
+    std::string m_declaration;
+    std::set<std::string, std::less<>> m_known_fields { "kind", "name", "partner" };
 };
 
 result<object> parse_team(field_reader& fields, partner_name const& partner, std::string const& name)
@@ -172,8 +172,8 @@
     parsed.name = team_name(partner.value() + "/" + name);
     parsed.partner = partner;
     parsed.labels = TRY(fields.optional_labels("labels"));
-    parsed.weight = TRY(fields.optional_number("weight", parsed.weight, 1, most_weight));
-    parsed.queue_bound = TRY(fields.optional_number("queue_bound", parsed.queue_bound, 1, most_queue_bound));
+    parsed.weight = TRY(fields.optional_number("weight", parsed.weight, 1, max_weight));
+    parsed.queue_bound = TRY(fields.optional_number("queue_bound", parsed.queue_bound, 1, max_queue_bound));
     parsed.key_hashes = TRY(fields.optional_strings("key_hashes"));
     for (auto const& hash : parsed.key_hashes) {
         auto const is_hexadecimal = std::ranges::all_of(
@@ -228,10 +228,10 @@
     return json;
 }
 
-boost::json::object selector_to_json(selector const& picked)
+boost::json::object selector_to_json(selector const& source)
 {
     boost::json::object json;
-    for (auto const& [label, values] : picked.required)
+    for (auto const& [label, values] : source.required)
         json[label] = strings_to_json(values);
     return json;
 }
@@ -294,8 +294,8 @@
         return fail("parse declaration", "", "each declaration must be a JSON object");
     auto const& members = json.as_object();
     auto const* declared_name = members.if_contains("name");
-    auto const where = declared_name != nullptr ? boost::json::serialize(*declared_name) : std::string("unnamed");
-    field_reader fields(members, where);
+    auto const declaration = declared_name != nullptr ? boost::json::serialize(*declared_name) : std::string("unnamed");
+    field_reader fields(members, declaration);
     auto const kind = TRY(fields.required_string("kind"));
     auto const name = TRY(fields.required_name("name"));
     auto const partner = partner_name(TRY(fields.required_name("partner")));
--- a/libraries/config/objects.h
+++ b/libraries/config/objects.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What operators declare: teams, endpoints and policies, with labels, and the selectors that pick them.
+// The objects that operators declare (teams, endpoints and policies with labels) and the selectors that match them.
 #pragma once
 
 #include "base/error.h"
@@ -17,10 +17,10 @@
 
 using label_map = std::map<std::string, std::string>;
 
-// Picks objects by their labels. An empty selector picks all. Besides the declared labels every object has
-// "name", "partner" and, for endpoints, "pool" and "failure-domain".
+// Matches objects by their labels. An empty selector matches every object. Besides the declared labels every object has
+// the built-in labels "name" and "partner"; endpoints also have "pool" and "failure-domain".
 struct selector {
-    // Each label must have one of the values listed for it.
+    // Maps each required label to its accepted values.
     std::map<std::string, std::vector<std::string>> required;
 
     [[nodiscard]] bool matches(label_map const& labels) const;
@@ -31,11 +31,11 @@
     team_name name;
     partner_name partner;
     label_map labels;
-    // The share of a pool, against the weights of the other backlogged teams; at least 1.
+    // The team's relative share of a pool among the teams with waiting requests; at least 1.
     std::uint32_t weight { 1 };
-    // SHA-256 of the API keys, in hexadecimal. The keys themselves are never declared.
+    // SHA-256 hashes of the API keys, in hexadecimal. Declarations never contain the keys themselves.
     std::vector<std::string> key_hashes;
-    // How many requests of this team may wait at one router.
+    // The maximum number of this team's requests that wait at one router.
     std::uint32_t queue_bound { 256 };
 
     bool operator==(team const&) const = default;
@@ -60,7 +60,7 @@
     policy_action action { policy_action::use };
     selector teams;
     selector endpoints;
-    // On a share policy: the partner's own teams are served first while they have work waiting.
+    // On a share policy: the partner's own teams have priority while they have requests waiting.
     bool is_own_first { false };
 
     bool operator==(policy const&) const = default;
@@ -68,16 +68,17 @@
 
 using object = std::variant<team, endpoint, policy>;
 
-// "team", "endpoint" or "policy", then the object's full name. The key under which an object is kept.
+// Returns the key that identifies an object: its kind ("team", "endpoint" or "policy"), a colon and its full name.
 std::string object_key(object const& declared);
 partner_name const& object_partner(object const& declared);
 
 result<object> parse_object(boost::json::value const& json);
 boost::json::value to_json(object const& declared);
 
-// Parses a file of declarations: one object, or a list of them. All are refused if one is bad.
+// Parses a file that holds one declaration or a list of them. One invalid declaration makes the whole file invalid.
 result<std::vector<object>> parse_declarations(std::string_view text, std::string const& file);
 
+// The declared and the built-in labels, against which selectors are matched.
 label_map selectable_labels(team const& declared);
 label_map selectable_labels(endpoint const& declared);
 
--- a/libraries/diagnosis/fleet_summary.cpp
+++ b/libraries/diagnosis/fleet_summary.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Sums and order statistics.
+// Computes sums and order statistics over the routers of a fleet.
 #include "libraries/diagnosis/fleet_summary.h"
 
 #include <algorithm>
@@ -11,27 +11,28 @@
 namespace {
 
 constexpr std::size_t hundred = 100;
-constexpr std::size_t half = 50;
-constexpr std::size_t most = 95;
+constexpr std::size_t median_percent = 50;
+constexpr std::size_t high_percent = 95;
 
 using measure_function = std::function<double(metrics_summary const&)>;
 
-// The value that so many in a hundred are at or below.
-double at_part(std::vector<std::pair<double, std::string>> const& sorted, std::size_t in_hundred)
+// Returns the nearest-rank percentile of a non-empty, sorted list.
+double percentile_of(std::vector<std::pair<double, std::string>> const& sorted, std::size_t percent)
 {
-    auto const rank = (sorted.size() * in_hundred + hundred - 1) / hundred;
+    auto const rank = (sorted.size() * percent + hundred - 1) / hundred;
     return sorted[std::max<std::size_t>(rank, 1) - 1].first;
 }
 
-measure_spread spread_of(std::string name, std::vector<named_summary> const& routers, measure_function const& measure)
+measure_distribution distribution_of(
+    std::string name, std::vector<named_summary> const& routers, measure_function const& measure)
 {
     std::vector<std::pair<double, std::string>> sorted;
     sorted.reserve(routers.size());
     for (auto const& [router, summary] : routers)
         sorted.emplace_back(measure(summary), router);
     std::ranges::sort(sorted);
-    return { std::move(name), sorted.front().first, at_part(sorted, half), at_part(sorted, most), sorted.back().first,
-        sorted.back().second };
+    return { std::move(name), sorted.front().first, percentile_of(sorted, median_percent),
+        percentile_of(sorted, high_percent), sorted.back().first, sorted.back().second };
 }
 
 std::vector<refusal_count> sum_refusals(std::vector<named_summary> const& routers)
@@ -63,7 +64,7 @@
     }
     fleet.refusals = sum_refusals(routers);
     auto const add = [&](char const* name, measure_function const& measure) {
-        fleet.measures.push_back(spread_of(name, routers, measure));
+        fleet.measures.push_back(distribution_of(name, routers, measure));
     };
     add("configuration_age_ms", [](metrics_summary const& summary) { return summary.configuration_age_ms; });
     add("endpoint_list_age_ms", [](metrics_summary const& summary) { return summary.endpoint_list_age_ms; });
--- a/libraries/diagnosis/fleet_summary.h
+++ b/libraries/diagnosis/fleet_summary.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Many routers' metrics together: hundreds of lines, one for each router, show nobody who stands out.
+// Aggregates the metrics of many routers, so that routers with unusual values are visible among hundreds.
 #pragma once
 
 #include "libraries/diagnosis/metrics_summary.h"
@@ -16,26 +16,26 @@
     metrics_summary summary;
 };
 
-// How one measure spreads over the routers.
-struct measure_spread {
+// The distribution of one measure over the routers.
+struct measure_distribution {
     std::string measure;
-    double least { 0 };
-    double middle { 0 };
-    // 95 in 100 routers are at this or below.
-    double most_below { 0 };
-    double greatest { 0 };
-    // The router with the greatest.
-    std::string greatest_at;
+    double min { 0 };
+    double median { 0 };
+    // At least 95 percent of the routers have this value or a lower one.
+    double percentile_95 { 0 };
+    double max { 0 };
+    // The router with the maximum.
+    std::string max_router;
 };
 
 struct fleet_summary {
     std::size_t routers { 0 };
     std::size_t ready { 0 };
-    // How many routers go by each revision of the configuration.
+    // Maps each revision of the configuration to the number of routers that use it.
     std::map<std::uint64_t, std::size_t> revisions;
-    // Of all routers, most first.
+    // The sums over all routers, in descending order of the count.
     std::vector<refusal_count> refusals;
-    std::vector<measure_spread> measures;
+    std::vector<measure_distribution> measures;
 };
 
 fleet_summary summarize_fleet(std::vector<named_summary> const& routers);
--- a/libraries/diagnosis/metrics_summary.h
+++ b/libraries/diagnosis/metrics_summary.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What matters first of a router's metrics text: whether it is ready, by which revision it goes, how old its
-// knowledge is, how much waits, what it refuses most, and how late answers begin.
+// Summarizes a router's metrics text: whether it is ready, its configuration revision, the age of its configuration and
+// endpoint list, the number of waiting requests, its refusals by reason, and the latency of first events.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 struct latency_summary {
     std::string pool;
     std::uint64_t count { 0 };
-    // The bounds of the buckets in which half and 95 in 100 of all were reached, in seconds; 0 where that is beyond
+    // The upper bounds of the histogram buckets that contain the median and the 95th percentile; 0 if the value exceeds
     // the last bound.
-    double half_within { 0 };
-    double most_within { 0 };
+    double median_seconds { 0 };
+    double percentile_95_seconds { 0 };
 };
 
 struct metrics_summary {
@@ -32,13 +32,13 @@
     std::uint64_t active { 0 };
     std::uint64_t waiting { 0 };
     std::uint64_t answers { 0 };
-    // Most first; reasons that never occurred are left out.
+    // In descending order of the count, without reasons that never occurred.
     std::vector<refusal_count> refusals;
-    // From arrival to the first event, by pool.
+    // The time from a request's arrival to its first event, by pool.
     std::vector<latency_summary> first_events;
 };
 
-// Lines that are not understood are skipped.
+// Lines that cannot be parsed are skipped.
 metrics_summary summarize_metrics(std::string_view text);
 
 } // namespace shedhill::diagnosis
--- a/libraries/diagnosis/metrics_text.cpp
+++ b/libraries/diagnosis/metrics_text.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Samples and labels.
+// Parses samples and labels of the metrics text.
 #include "libraries/diagnosis/metrics_text.h"
 
 #include <algorithm>
@@ -16,18 +16,18 @@
     auto const blank = line.rfind(' ');
     if (line.starts_with('#') || blank == std::string_view::npos)
         return std::nullopt;
-    metric_sample read;
+    metric_sample sample;
     std::string const number(line.substr(blank + 1));
     char* end = nullptr;
-    read.value = std::strtod(number.c_str(), &end);
-    if (end == number.c_str() || !std::isfinite(read.value))
+    sample.value = std::strtod(number.c_str(), &end);
+    if (end == number.c_str() || !std::isfinite(sample.value))
         return std::nullopt;
     auto const series = line.substr(0, blank);
     auto const brace = series.find('{');
-    read.name = series.substr(0, brace);
+    sample.name = series.substr(0, brace);
     if (brace != std::string_view::npos)
-        read.labels = series.substr(brace);
-    return read;
+        sample.labels = series.substr(brace);
+    return sample;
 }
 
 } // namespace
@@ -36,8 +36,8 @@
 {
     while (!text.empty()) {
         auto const end = std::min(text.find('\n'), text.size());
-        if (auto const read = parse_sample(text.substr(0, end)))
-            action(*read);
+        if (auto const sample = parse_sample(text.substr(0, end)))
+            action(*sample);
         text.remove_prefix(std::min(end + 1, text.size()));
     }
 }
--- a/libraries/diagnosis/metrics_text.h
+++ b/libraries/diagnosis/metrics_text.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Reading of the usual text form of metrics, a line a sample.
+// Parses the Prometheus text format, in which each line holds one sample.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 struct metric_sample {
     std::string_view name;
-    // With their braces; empty where there are none.
+    // The labels including their braces; empty if the sample has none.
     std::string_view labels;
     double value { 0 };
 };
 
-// Lines that are not understood are skipped.
+// Calls the action for each sample. Lines that cannot be parsed are skipped.
 void for_each_sample(std::string_view text, std::function<void(metric_sample const&)> const& action);
-// Empty where there is no such label.
+// Returns the value of a label, or an empty string if the sample does not have it.
 std::string label_of(std::string_view labels, std::string_view name);
-// A count is never negative.
+// Converts the value of a sample to a count; negative values become 0.
 std::uint64_t to_count(double value);
 
 } // namespace shedhill::diagnosis
--- a/libraries/diagnosis/request_story.cpp
+++ b/libraries/diagnosis/request_trace.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Reading of log lines and the sentence that sums them up.
-#include "libraries/diagnosis/request_story.h"
+// Parses log lines and derives the cause of a request's end from them.
+#include "libraries/diagnosis/request_trace.h"
 
 #include <algorithm>
 #include <sstream>
@@ -29,16 +29,16 @@
         return start + ": team " + text_of(fields, "team") + " had " + text_of(fields, "level")
             + " tokens in the window, its share was " + text_of(fields, "share") + ", the even level "
             + text_of(fields, "even_level") + "; " + text_of(fields, "taken") + " of " + text_of(fields, "places")
-            + " places were taken, shares bound by " + text_of(fields, "scarce_percent")
-            + " in 100, and the best endpoint's first event was foreseen after " + text_of(fields, "best_expected_ms")
-            + " ms";
+            + " slots were in use, shares were enforced at " + text_of(fields, "scarce_percent")
+            + " percent, and the first event of the best endpoint was estimated after "
+            + text_of(fields, "best_expected_ms") + " ms";
     if (reason == "endpoints_resting")
         return start + ": all endpoints of pool " + text_of(fields, "pool")
-            + " had asked this router for rest, the first for " + text_of(fields, "rest_ms") + " ms more";
+            + " had asked this router to back off, the first for another " + text_of(fields, "rest_ms") + " ms";
     if (reason == "crashes_endpoints")
-        return start + ": endpoints had crashed under its last " + text_of(fields, "crashes")
-            + " tries, one after another; request_crashed_endpoint with content " + text_of(fields, "content")
-            + " names them";
+        return start + ": endpoints crashed during its last " + text_of(fields, "crashes")
+            + " consecutive attempts; the events request_crashed_endpoint with content " + text_of(fields, "content")
+            + " name them";
     if (reason == "no_route" || reason == "unknown_key")
         return start + ": by configuration " + text_of(fields, "revision");
     return start + " after " + text_of(fields, "after_ms") + " ms";
@@ -53,14 +53,14 @@
 
 } // namespace
 
-void request_story::read(std::istream& log)
+void request_trace::read(std::istream& log)
 {
     std::string line;
     while (std::getline(log, line))
         read_line(line);
 }
 
-void request_story::read_line(std::string_view line)
+void request_trace::read_line(std::string_view line)
 {
     auto const start = line.find('{');
     if (start == std::string_view::npos || line.find(m_request_id) == std::string_view::npos)
@@ -73,32 +73,32 @@
     auto& fields = parsed.get_object();
     if (text_of(fields, "id") != m_request_id)
         return;
-    story_line made;
+    trace_line parsed_line;
     if (auto const* time = fields.if_contains("unix_ms"); time != nullptr && time->is_int64())
-        made.unix_ms = time->get_int64();
-    made.vm = text_of(fields, "vm");
-    made.event = text_of(fields, "event");
+        parsed_line.unix_ms = time->get_int64();
+    parsed_line.vm = text_of(fields, "vm");
+    parsed_line.event = text_of(fields, "event");
     for (auto const* name : { "unix_ms", "vm", "event", "id", "level" }) {
-        // A number under this name is the team's level, not the line's.
+        // A string under "level" is the level of the log line; a number is the team's service level and is kept.
         if (std::string_view(name) != "level" || fields["level"].is_string())
             fields.erase(name);
     }
-    made.fields = std::move(fields);
-    m_lines.push_back(std::move(made));
+    parsed_line.fields = std::move(fields);
+    m_lines.push_back(std::move(parsed_line));
 }
 
-void request_story::sort() { std::ranges::stable_sort(m_lines, {}, &story_line::unix_ms); }
+void request_trace::sort() { std::ranges::stable_sort(m_lines, {}, &trace_line::unix_ms); }
 
-std::optional<story_cause> request_story::cause() const
+std::optional<trace_cause> request_trace::cause() const
 {
-    std::optional<story_cause> found;
+    std::optional<trace_cause> found;
     for (std::size_t index = 0; index < m_lines.size(); ++index) {
         auto const& [time, vm, event, fields] = m_lines[index];
         if (event == "answered")
             found = { "answered with " + text_of(fields, "status") + " by endpoint " + text_of(fields, "endpoint"),
                 index };
         else if (event == "failure_passed_on")
-            found = { "endpoint " + text_of(fields, "endpoint") + " itself answered that it failed; not sent again ("
+            found = { "endpoint " + text_of(fields, "endpoint") + " answered with a failure of its own; not retried ("
                     + text_of(fields, "not_again") + ")",
                 index };
         else if (event == "caller_left")
@@ -117,7 +117,7 @@
     return found;
 }
 
-std::string request_story::to_text() const
+std::string request_trace::to_text() const
 {
     std::ostringstream text;
     auto const first = m_lines.empty() ? 0 : m_lines.front().unix_ms;
@@ -133,15 +133,15 @@
     return text.str();
 }
 
-json::value request_story::to_json() const
+json::value request_trace::to_json() const
 {
     json::array listed;
     for (auto const& [time, vm, event, fields] : m_lines)
         listed.push_back(json::object { { "unix_ms", time }, { "vm", vm }, { "event", event }, { "fields", fields } });
-    json::object story { { "id", m_request_id }, { "lines", listed } };
+    json::object trace_json { { "id", m_request_id }, { "lines", listed } };
     if (auto const found = cause())
-        story["cause"] = found->summary;
-    return story;
+        trace_json["cause"] = found->summary;
+    return trace_json;
 }
 
 } // namespace shedhill::diagnosis
--- a/libraries/dispatch/endpoints/endpoint_board.cpp
+++ b/libraries/dispatch/endpoints/endpoint_board.cpp
@@ -144,7 +144,7 @@
             state->key = key;
             restore_announced_state(*state);
             state->answer_time.initialize(entry.slots);
-            state->preference = unit_share(rendezvous_weight(m_self, entry.name.value()));
+            state->preference = hash_to_unit_interval(rendezvous_weight(m_self, entry.name.value()));
             state->prefill_rate.update(pool_rate_of(entry.pool), now);
         }
         m_by_name[entry.name] = state.get();
--- a/libraries/dispatch/endpoints/endpoint_choice.cpp
+++ b/libraries/dispatch/endpoints/endpoint_choice.cpp
@@ -29,7 +29,7 @@
 
 double placement_share(std::uint64_t part, endpoint_name const& endpoint)
 {
-    return unit_share(rendezvous_weight(part, endpoint.value()));
+    return hash_to_unit_interval(rendezvous_weight(part, endpoint.value()));
 }
 
 } // namespace
@@ -135,7 +135,8 @@
     if (endpoint.entry.domain != m_own_domain)
         cost += m_policy.other_domain_ms;
     if (request.suspect != 0)
-        cost += suspect_spread_ms * unit_share(rendezvous_weight(request.suspect, endpoint.entry.name.value()));
+        cost += suspect_spread_ms
+            * hash_to_unit_interval(rendezvous_weight(request.suspect, endpoint.entry.name.value()));
     if (placement != 0)
         cost += m_policy.placement_spread_ms * placement_share(placement, endpoint.entry.name);
     return cost;
--- a/libraries/edge/request_parser.h
+++ b/libraries/edge/request_parser.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Turns a caller's HTTP request into what the router decides on: the team's key, the pool, and how it may be run.
+// Converts a caller's HTTP request to the router's representation: the hash of the API key, the pool, and whether the
+// request may be repeated.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -7,13 +8,15 @@
 
 namespace shedhill::edge {
 
+// HTTP headers of requests and of answers to callers.
 constexpr char const* not_repeatable_header = "x-shedhill-not-repeatable";
 constexpr char const* idempotency_header = "idempotency-key";
 constexpr char const* deadline_header = "x-shedhill-deadline-ms";
 constexpr char const* outcome_header = "x-shedhill-outcome";
 constexpr char const* reason_header = "x-shedhill-reason";
 
-// Refuses, with the reason, what is neither a chat completion nor a call of a plain service.
+// Returns an error with the reason if the request is neither a valid chat completion nor a valid call of a plain
+// service.
 result<router::caller_request> parse_request(net::http_request const& received, request_number number);
 
 } // namespace shedhill::edge
--- a/libraries/endpoint/demand_board.cpp
+++ b/libraries/endpoint/demand_board.cpp
@@ -45,13 +45,13 @@
     std::erase_if(m_accounts, [](auto const& entry) { return entry.second.empty(); });
 }
 
-std::optional<chosen_demand> demand_board::take_next(random_draw& draw, instant now)
+std::optional<chosen_demand> demand_board::take_next(random_generator& draw, instant now)
 {
     if (m_accounts.empty())
         return std::nullopt;
     auto const account = choose_account(draw, now);
     auto& offers = m_accounts.at(account);
-    auto router = std::next(offers.begin(), static_cast<std::ptrdiff_t>(draw.below(offers.size())));
+    auto router = std::next(offers.begin(), static_cast<std::ptrdiff_t>(draw.next_below(offers.size())));
     chosen_demand const chosen { router->first, account, router->second.entry.expected_cost };
     if (--router->second.entry.waiting == 0)
         offers.erase(router);
@@ -112,7 +112,7 @@
     return offer.entry.level + unreported.value() / static_cast<std::int64_t>(std::max(offer.entry.weight, 1U));
 }
 
-account_id demand_board::choose_account(random_draw& draw, instant now)
+account_id demand_board::choose_account(random_generator& draw, instant now)
 {
     auto candidates = best_tier();
     auto const is_exact = m_settings.policy != choice_policy::corrected_draw
@@ -121,7 +121,7 @@
         m_grants_since_exact = 0;
     else if (candidates.size() > m_settings.draw_size) {
         for (std::size_t index = 0; index < m_settings.draw_size; ++index)
-            std::swap(candidates[index], candidates[index + draw.below(candidates.size() - index)]);
+            std::swap(candidates[index], candidates[index + draw.next_below(candidates.size() - index)]);
         candidates.resize(m_settings.draw_size);
     }
     auto const level = [&](account_id account) { return level_of(account, m_accounts.at(account), now); };
--- a/libraries/endpoint/demand_board.h
+++ b/libraries/endpoint/demand_board.h
@@ -2,7 +2,7 @@
 // The standing offers of all connected routers, and the choice of the account that gets the next free slot.
 #pragma once
 
-#include "base/random_draw.h"
+#include "base/random_generator.h"
 #include "libraries/endpoint/options.h"
 #include "libraries/wire/messages.h"
 
@@ -40,7 +40,7 @@
 
     // Chooses an account and one of the routers that offer it, and removes one request from the offer. Returns nothing
     // if there are no offers.
-    std::optional<chosen_demand> take_next(random_draw& draw, instant now);
+    std::optional<chosen_demand> take_next(random_generator& draw, instant now);
 
     // Records service that this endpoint gave to the account through a router; a negative amount corrects earlier
     // service. Levels that do not include the charge yet are corrected by it.
@@ -72,7 +72,7 @@
     [[nodiscard]] std::int64_t level_of(account_id account, offers_by_router const& offers, instant now) const;
     [[nodiscard]] std::int64_t corrected_level(
         account_id account, connection_id connection, standing_offer const& offer, instant now) const;
-    [[nodiscard]] account_id choose_account(random_draw& draw, instant now);
+    [[nodiscard]] account_id choose_account(random_generator& draw, instant now);
     [[nodiscard]] std::vector<account_id> best_tier() const;
 
     options const& m_settings;
--- a/libraries/endpoint/endpoint_reducer.cpp
+++ b/libraries/endpoint/endpoint_reducer.cpp
@@ -16,7 +16,7 @@
 effect_list endpoint_reducer::reduce(event const& input)
 {
     m_now = input.now;
-    m_draw = random_draw(input.draw);
+    m_draw = random_generator(input.draw);
     m_effects.clear();
     std::visit([&](auto const& body) { handle(body); }, input.body);
     grant_free_slots();
@@ -286,7 +286,7 @@
         routers.push_back(connection);
     auto const fanout = std::min(m_settings.announce_fanout, routers.size());
     for (std::size_t index = 0; index < fanout; ++index) {
-        std::swap(routers[index], routers[index + m_draw.below(routers.size() - index)]);
+        std::swap(routers[index], routers[index + m_draw.next_below(routers.size() - index)]);
         send(routers[index], state());
     }
 }
--- a/libraries/endpoint/endpoint_reducer.h
+++ b/libraries/endpoint/endpoint_reducer.h
@@ -121,7 +121,7 @@
 
     // The state of the current step.
     instant m_now {};
-    random_draw m_draw { 0 };
+    random_generator m_draw { 0 };
     effect_list m_effects;
 };
 
--- a/libraries/logging/event_log.cpp
+++ b/libraries/logging/event_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Lines through Boost.Log's core into a sink that gathers them, and asks the pipe before it writes.
+// Writes lines through Boost.Log's core to a sink that buffers them and writes only when standard output is writable.
 #include "libraries/logging/event_log.h"
 
 #include <boost/log/core.hpp>
@@ -20,12 +20,12 @@
 
 namespace log = boost::log;
 
-// Lines wait here until the next flush: one system call for many. What waits never exceeds what a pipe that is writable
-// has room for, so that the write does not block.
+// Buffers lines until the next flush, so that one system call writes many lines. The buffer never holds more than
+// PIPE_BUF bytes, which a writable pipe accepts without blocking.
 struct pending_lines {
     std::string text;
     std::uint64_t count { 0 };
-    // Those that no reader took in time.
+    // The number of lines that were not written, because the reader was too slow or the line was longer than PIPE_BUF.
     std::uint64_t dropped { 0 };
 
     void add(std::string const& line)
@@ -54,7 +54,7 @@
     }
 };
 
-pending_lines g_pending; // NOLINT: one thread logs
+pending_lines g_pending; // NOLINT: only one thread logs
 
 class pending_output : public log::sinks::basic_formatted_sink_backend<char, log::sinks::concurrent_feeding> {
 public:
@@ -64,12 +64,12 @@
 void install_sink()
 {
     using sink = log::sinks::unlocked_sink<pending_output>;
-    auto const made = boost::make_shared<sink>(boost::make_shared<pending_output>());
-    made->set_formatter([](log::record_view const& record, log::formatting_ostream& out) {
+    auto const sink_frontend = boost::make_shared<sink>(boost::make_shared<pending_output>());
+    sink_frontend->set_formatter([](log::record_view const& record, log::formatting_ostream& out) {
         out << record[log::aux::default_attribute_names::message()].extract<std::string>().get() << '\n';
     });
     log::core::get()->remove_all_sinks();
-    log::core::get()->add_sink(made);
+    log::core::get()->add_sink(sink_frontend);
 }
 
 std::string_view name_of(event_level level)
@@ -94,7 +94,7 @@
     install_sink();
 }
 
-bool event_log::take_from_budget(event_level level, instant now)
+bool event_log::consume_budget(event_level level, instant now)
 {
     constexpr std::int64_t ms_per_second = 1000;
     auto const second = now.time_since_epoch().count() / ms_per_second;
@@ -112,16 +112,16 @@
 
 void event_log::write(event_level level, std::string_view event, std::string_view fields, instant now)
 {
-    if (!take_from_budget(level, now)) {
-        ++m_counts.over_budget;
+    if (!consume_budget(level, now)) {
+        ++m_counts.rate_limited;
         return;
     }
-    auto const wall = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
+    auto const unix_ms = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
     std::string line;
-    constexpr std::size_t usual_size = 320;
-    line.reserve(usual_size);
+    constexpr std::size_t typical_line_size = 320;
+    line.reserve(typical_line_size);
     line += R"({"unix_ms":)";
-    line += std::to_string(wall);
+    line += std::to_string(unix_ms);
     line += R"(,"vm":")";
     line += m_vm;
     line += R"(","level":")";
@@ -142,13 +142,13 @@
 void event_log::flush()
 {
     g_pending.flush();
-    m_counts.pipe_full = g_pending.dropped;
+    m_counts.dropped = g_pending.dropped;
 }
 
 void event_log::write_line(std::string const& line)
 {
     static log::sources::logger logger;
-    ++m_counts.taken;
+    ++m_counts.accepted;
     if (auto record = logger.open_record()) {
         log::record_ostream stream(record);
         stream << line;
--- a/libraries/logging/event_log.h
+++ b/libraries/logging/event_log.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// One JSON object a line on standard output, by Boost.Log. The volume is bounded, warnings have a budget of their own,
-// and a reader that does not read never holds the process up: lines are dropped then, and counted. Lines gather until
-// flush() is called.
+// Writes events as JSON objects, one per line, to standard output by Boost.Log. Debug lines and warnings have separate
+// limits per second. A slow reader never blocks the process: lines that cannot be written are dropped and counted.
+// Lines are buffered until flush() is called.
 #pragma once
 
 #include "base/units.h"
@@ -12,7 +12,8 @@
 
 namespace shedhill::logging {
 
-// By what whoever is on call must do: nothing, know it, look into it.
+// The levels by the action that they require of the on-call engineer: none (debug), awareness (info), investigation
+// (warning).
 enum class event_level { debug, info, warning };
 
 struct event_log_options {
@@ -21,24 +22,27 @@
 };
 
 struct event_log_counts {
-    // Within the budget, written or not.
-    std::uint64_t taken { 0 };
-    std::uint64_t over_budget { 0 };
-    std::uint64_t pipe_full { 0 };
+    // Lines within the limits, whether written or dropped.
+    std::uint64_t accepted { 0 };
+    // Lines that exceeded the limit per second of their level.
+    std::uint64_t rate_limited { 0 };
+    // Lines that were too long or that the reader of standard output did not accept in time.
+    std::uint64_t dropped { 0 };
 };
 
 class event_log {
 public:
     event_log(std::string vm, event_log_options options);
 
-    // Fields are JSON members without the braces. A line of the level info is never over the budget.
+    // Writes one line. The fields are JSON members without the enclosing braces. The level info has no limit per
+    // second.
     void write(event_level level, std::string_view event, std::string_view fields, instant now);
-    // Writes what has gathered since the last time. Lines of the level info are written at once.
+    // Writes the buffered lines. Lines of the level info are flushed without a call of this function.
     void flush();
     [[nodiscard]] event_log_counts const& counts() const { return m_counts; }
 
 private:
-    [[nodiscard]] bool take_from_budget(event_level level, instant now);
+    [[nodiscard]] bool consume_budget(event_level level, instant now);
     void write_line(std::string const& line);
 
     std::string m_vm;
--- a/libraries/logging/log.cpp
+++ b/libraries/logging/log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Boost.Log behind three functions.
+// Implements the log by Boost.Log.
 #include "libraries/logging/log.h"
 
 #include <boost/log/trivial.hpp>
--- a/libraries/metrics/registry.cpp
+++ b/libraries/metrics/registry.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Quantiles by Boost.Accumulators, which keep a few markers instead of the samples; histograms by Boost.Histogram.
+// Estimates quantiles by Boost.Accumulators, which stores a few markers instead of the samples, and counts histograms
+// by Boost.Histogram.
 #include "libraries/metrics/registry.h"
 
 #include <array>
@@ -20,7 +21,7 @@
 using accumulator
     = acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::extended_p_square>>;
 
-// "name{labels}" with one label more.
+// Adds a label to a metric name of the form "name" or "name{labels}".
 std::string with_label(std::string const& name, std::string const& label)
 {
     if (name.ends_with('}'))
@@ -28,6 +29,7 @@
     return name + "{" + label + "}";
 }
 
+// Inserts a suffix between the metric name and its labels.
 std::string with_suffix(std::string const& name, std::string const& suffix)
 {
     auto const brace = name.find('{');
@@ -42,7 +44,7 @@
 
     void print(std::string const& name, std::ostream& out) const
     {
-        // NOTE: The markers mean nothing before there are as many samples as markers.
+        // NOTE: The quantile estimates are undefined until there are at least as many samples as markers.
         if (acc::count(m_samples) > 2 * quantiles.size() + 2) {
             for (std::size_t index = 0; index < quantiles.size(); ++index) {
                 auto const label = "quantile=\"" + std::to_string(quantiles.at(index)).substr(0, 4) + "\"";
@@ -66,7 +68,7 @@
         m_sum_ms += milliseconds;
     }
 
-    // Buckets are cumulative, as scrapers expect them.
+    // Prints cumulative buckets with bounds in seconds, as Prometheus defines them.
     void print(std::string const& name, std::ostream& out) const
     {
         std::uint64_t count = static_cast<std::uint64_t>(m_buckets.at(-1));
--- a/libraries/metrics/registry.h
+++ b/libraries/metrics/registry.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Counters, gauges and timings of one process, served as text for scraping.
+// Counters, gauges, quantiles and histograms of one process, printed in the Prometheus text format.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +20,13 @@
     registry(registry const&) = delete;
     registry& operator=(registry const&) = delete;
 
-    // Names are those of the text form, with labels: shedhill_refusals_total{reason="stalled"}.
+    // Metric names include their labels: shedhill_refusals_total{reason="stalled"}.
     void add(std::string const& name, std::uint64_t amount = 1) { m_counters[name] += amount; }
     void set(std::string const& name, double value) { m_gauges[name] = value; }
+    // Records a sample for quantile estimates in milliseconds.
     void observe(std::string const& name, double milliseconds);
-    // Counts into buckets of fixed bounds, which sums over processes keep their meaning. Told in seconds, as the name
-    // should say.
+    // Records a sample in a histogram with fixed bucket bounds, so that the buckets of several processes can be added.
+    // The histogram is printed in seconds; the metric name should end in "_seconds".
     void observe_latency(std::string const& name, double milliseconds);
 
     [[nodiscard]] std::uint64_t counter(std::string const& name) const;
--- a/libraries/net/address.h
+++ b/libraries/net/address.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Addresses as settings and the platform's list write them: an IP number and a port.
+// Addresses in the form used by settings and the platform's VM list: an IP address, a colon and a port number.
 #pragma once
 
 #include "base/error.h"
@@ -9,9 +9,10 @@
 
 namespace shedhill::net {
 
+// Does not resolve host names.
 result<boost::asio::ip::tcp::endpoint> parse_address(std::string const& address);
 
-// Listens at the address. Port 0 lets the system choose one.
+// Opens a listening socket. With port 0 the system assigns a free port.
 result<boost::asio::ip::tcp::acceptor> open_acceptor(std::string const& address);
 
 } // namespace shedhill::net
--- a/libraries/net/await.h
+++ b/libraries/net/await.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Lets a fiber wait for an asynchronous operation, and for other fibers. All fibers run on one thread.
+// Lets a fiber wait for asynchronous operations and for other fibers. All fibers run on one thread.
 #pragma once
 
 #include <boost/asio/error.hpp>
@@ -13,7 +13,7 @@
 
 namespace shedhill::net {
 
-// Set once or more; those that wait go on.
+// A manual-reset event: set() resumes all waiting fibers, and wait() returns immediately until the event is reset.
 class fiber_event {
 public:
     void set()
@@ -32,7 +32,7 @@
         m_changed.wait(lock, [this] { return m_is_set; });
     }
 
-    // Whether it was set before the time was up.
+    // Returns whether the event was set within the time limit.
     bool wait_for(std::chrono::milliseconds limit)
     {
         std::unique_lock lock(m_mutex);
@@ -45,12 +45,13 @@
     bool m_is_set { false };
 };
 
+// The result of an asynchronous operation: its error code and the number of bytes transferred.
 struct io_outcome {
     boost::system::error_code failure;
     std::size_t size { 0 };
 };
 
-// Starts an operation with a completion handler and suspends the fiber until the handler was called.
+// Starts an asynchronous operation with a completion handler and suspends the fiber until the handler is called.
 template <typename Start>
 io_outcome await_io(Start&& start)
 {
--- a/libraries/net/fiber_scheduler.cpp
+++ b/libraries/net/fiber_scheduler.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The scheduler, in order of readiness.
+// A first-in, first-out fiber scheduler that runs the io_context's handlers between fibers.
 #include "libraries/net/fiber_scheduler.h"
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -20,7 +20,7 @@
     }
 
     std::shared_ptr<boost::asio::io_context> io;
-    // Keeps the io_context from returning while it has nothing to wait for.
+    // Keeps run_one() blocking when the io_context has no pending operations.
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard;
 };
 
@@ -41,9 +41,10 @@
 
 boost::fibers::context* fiber_scheduler::pick_next() noexcept
 {
-    // The dispatcher runs once in each round of the fibers; handlers run then, so that busy fibers cannot hold up input
-    // and output. NOTE: A fiber that suspends calls this while it still holds the spinlock of what it waits for, which
-    // a handler may want: nowhere else may handlers run from here.
+    // The dispatcher context runs once in each round of ready fibers. Handlers run at that point, so that busy fibers
+    // do not starve input and output. NOTE: A suspending fiber calls this function while it holds the spinlock of the
+    // object that it waits for. A handler may need the same spinlock, so that handlers must not run from here in any
+    // other context.
     auto const is_dispatcher = boost::fibers::context::active()->is_context(boost::fibers::type::dispatcher_context);
     if (is_dispatcher && m_ready_fibers > 0)
         m_io->poll();
@@ -60,8 +61,8 @@
 
 void fiber_scheduler::suspend_until(std::chrono::steady_clock::time_point const& wake_at) noexcept
 {
-    // Setting the timer anew completes its earlier wait, which ends run_one() below: done each time, the thread would
-    // never block.
+    // Setting the timer cancels its pending wait, whose handler ends run_one() below. If the timer were set on every
+    // call, the thread would never block.
     if (wake_at != m_armed_for && wake_at != (std::chrono::steady_clock::time_point::max)()) {
         m_armed_for = wake_at;
         m_wake_timer.expires_at(wake_at);
@@ -76,7 +77,7 @@
     boost::asio::post(*m_io, [] {});
 }
 
-boost::asio::io_context& process_io()
+boost::asio::io_context& process_io_context()
 {
     static installed_io installed;
     return *installed.io;
--- a/libraries/net/fiber_scheduler.h
+++ b/libraries/net/fiber_scheduler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Joins Boost.Fiber and Boost.Asio on one thread: when no fiber is ready, the thread blocks in the io_context until a
-// handler has run, so an idle process uses no processor time.
+// Runs Boost.Fiber and Boost.Asio on one thread. When no fiber is ready, the thread blocks in the io_context until a
+// handler has run, so that an idle process uses no processor time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,6 +12,7 @@
 
 namespace shedhill::net {
 
+// Schedules fibers in the order in which they become ready. See boost::fibers::algo::algorithm for the overrides.
 class fiber_scheduler final : public boost::fibers::algo::algorithm {
 public:
     explicit fiber_scheduler(std::shared_ptr<boost::asio::io_context> io);
@@ -25,14 +26,14 @@
 private:
     std::shared_ptr<boost::asio::io_context> m_io;
     boost::asio::steady_timer m_wake_timer;
-    // What the timer was last set to.
+    // The expiry time to which m_wake_timer was last set.
     std::chrono::steady_clock::time_point m_armed_for {};
     boost::fibers::scheduler::ready_queue_type m_ready;
-    // Ready fibers besides the scheduler's own dispatcher.
+    // The number of ready fibers, without the dispatcher context.
     std::size_t m_ready_fibers { 0 };
 };
 
-// The io_context of this process. The first call on the main thread installs the scheduler.
-boost::asio::io_context& process_io();
+// Returns the io_context of this process. The first call, which must come from the main thread, installs the scheduler.
+boost::asio::io_context& process_io_context();
 
 } // namespace shedhill::net
--- a/libraries/net/fibers.h
+++ b/libraries/net/fibers.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Starts fibers with stacks of one size, guarded against overflow.
+// Starts detached fibers whose stacks have a fixed size and a guard page against overflow.
 #pragma once
 
 #include <boost/fiber/fiber.hpp>
@@ -9,8 +9,10 @@
 
 namespace shedhill::net {
 
+// In bytes.
 constexpr std::size_t fiber_stack_size = std::size_t { 96 } << 10;
 
+// Starts a detached fiber that runs when the current fiber suspends.
 template <typename Body>
 void start_fiber(Body&& body)
 {
--- a/libraries/net/frame_connection.cpp
+++ b/libraries/net/frame_connection.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Framed connections, the handshake and the listener.
+// Implements framed connections, their handshake and their listener.
 #include "libraries/net/frame_connection.h"
 
 #include "libraries/net/address.h"
@@ -22,10 +22,10 @@
 
 constexpr std::size_t nonce_size = 16;
 constexpr std::size_t read_size = 16384;
-// A peer that is this far behind in reading does not keep up, and is cut off.
-constexpr std::size_t most_queued_bytes = std::size_t { 64 } << 20;
+// The limit of unsent bytes in a connection's queue. A connection whose peer reads too slowly is aborted.
+constexpr std::size_t max_queued_bytes = std::size_t { 64 } << 20;
 constexpr std::chrono::milliseconds handshake_limit { 3000 };
-constexpr std::size_t most_handshake_frame = 4096;
+constexpr std::size_t max_handshake_frame_size = 4096;
 
 traffic_counts& traffic()
 {
@@ -52,17 +52,17 @@
     counts.forwarding_bytes += frame_size - *payload;
 }
 
-std::string proof_text(wire::hello const& prover, wire::hello const& challenger, std::string_view side)
+std::string proof_input(wire::hello const& prover, wire::hello const& challenger, std::string_view side)
 {
     return std::string(side) + "|" + prover.vm.value() + "|" + std::to_string(prover.epoch.value()) + "|"
         + std::to_string(static_cast<int>(prover.role)) + "|" + prover.nonce + "|" + challenger.nonce;
 }
 
-// Closes the socket unless it is called off in time.
-class time_limit {
+// Aborts the connection unless it is destroyed before the time limit expires.
+class abort_timer {
 public:
-    time_limit(frame_connection& limited, std::chrono::milliseconds limit)
-        : m_timer(process_io(), limit)
+    abort_timer(frame_connection& limited, std::chrono::milliseconds limit)
+        : m_timer(process_io_context(), limit)
     {
         m_timer.async_wait([weak = limited.weak_from_this()](boost::system::error_code failure) {
             auto connection = weak.lock();
@@ -80,41 +80,44 @@
 frame_connection::frame_connection(tcp::socket socket, std::string peer_address)
     : m_socket(std::move(socket))
     , m_peer(std::move(peer_address))
-    , m_frame_limit(most_handshake_frame)
+    , m_frame_limit(max_handshake_frame_size)
 {
     boost::system::error_code ignored;
     m_socket.set_option(tcp::no_delay(true), ignored);
 }
 
-result<wire::hello> frame_connection::shake_hands(fleet_identity const& self, handshake_side side, revision current)
+result<wire::hello> frame_connection::perform_handshake(
+    process_identity const& self, handshake_side side, revision current)
 {
-    time_limit const limit(*this, handshake_limit);
-    wire::hello const own { self.vm, self.role, self.epoch, random_bytes(nonce_size), current };
-    send(own);
+    abort_timer const timer(*this, handshake_limit);
+    wire::hello const own_hello { self.vm, self.role, self.epoch, random_bytes(nonce_size), current };
+    send(own_hello);
     auto const first = TRY(read());
-    auto const* other = std::get_if<wire::hello>(&first);
-    if (other == nullptr || other->nonce.size() != nonce_size)
-        return fail("shake hands", m_peer, "no hello");
+    auto const* peer_hello = std::get_if<wire::hello>(&first);
+    if (peer_hello == nullptr || peer_hello->nonce.size() != nonce_size)
+        return fail("handshake", m_peer, "the first message is not a valid hello");
     auto const is_connecting = side == handshake_side::connecting;
-    send(wire::proof { hmac_sha256(self.key, proof_text(own, *other, is_connecting ? "connect" : "accept")) });
+    send(wire::proof {
+        hmac_sha256(self.key, proof_input(own_hello, *peer_hello, is_connecting ? "connect" : "accept")) });
     auto const second = TRY(read());
     auto const* proof = std::get_if<wire::proof>(&second);
-    auto const expected = hmac_sha256(self.key, proof_text(*other, own, is_connecting ? "accept" : "connect"));
+    auto const expected
+        = hmac_sha256(self.key, proof_input(*peer_hello, own_hello, is_connecting ? "accept" : "connect"));
     if (proof == nullptr || !is_equal_in_constant_time(proof->mac, expected))
-        return fail("shake hands", m_peer, "the peer does not hold the fleet's key");
-    m_frame_limit = wire::most_frame_size;
-    m_peer = other->vm.value() + "@" + m_peer;
-    return *other;
+        return fail("handshake", m_peer, "the peer does not hold the fleet's key");
+    m_frame_limit = wire::max_frame_size;
+    m_peer = peer_hello->vm.value() + "@" + m_peer;
+    return *peer_hello;
 }
 
 result<wire::message> frame_connection::read()
 {
-    auto const fill = [this](std::size_t wanted) -> result<void> {
-        while (m_input.size() - m_input_used < wanted) {
+    auto const read_at_least = [this](std::size_t byte_count) -> result<void> {
+        while (m_input.size() - m_input_used < byte_count) {
             m_input.erase(0, m_input_used);
             m_input_used = 0;
             auto const present = m_input.size();
-            m_input.resize(std::max(present + read_size, wanted));
+            m_input.resize(std::max(present + read_size, byte_count));
             auto self = shared_from_this();
             auto const [failure, size] = await_io([&](auto handler) {
                 m_socket.async_read_some(
@@ -126,14 +129,14 @@
         }
         return {};
     };
-    TRY_VOID(fill(wire::length_prefix_size));
+    TRY_VOID(read_at_least(wire::length_prefix_size));
     auto const size = wire::decode_length(std::string_view(m_input).substr(m_input_used, wire::length_prefix_size));
     if (!size)
         return fail("read frame", m_peer, size.error().reason);
     if (*size > m_frame_limit)
-        return fail("read frame", m_peer, "too long before the handshake");
-    TRY_VOID(fill(wire::length_prefix_size + *size));
-    // NOTE: The verifier wants the buffer aligned, so the frame is copied to a string of its own.
+        return fail("read frame", m_peer, "the frame exceeds the size limit that applies before the handshake");
+    TRY_VOID(read_at_least(wire::length_prefix_size + *size));
+    // NOTE: The verifier requires an aligned buffer, so that the frame is copied to a separate string.
     auto const frame = m_input.substr(m_input_used + wire::length_prefix_size, *size);
     m_input_used += wire::length_prefix_size + *size;
     auto decoded = wire::decode(frame);
@@ -150,7 +153,7 @@
     count_traffic(message, frame.size());
     m_queued_bytes += frame.size();
     m_queue.push_back(std::move(frame));
-    if (m_queued_bytes > most_queued_bytes) {
+    if (m_queued_bytes > max_queued_bytes) {
         abort();
         return;
     }
@@ -194,16 +197,17 @@
     });
 }
 
-result<std::shared_ptr<frame_connection>> connect_frames(std::string const& address, std::chrono::milliseconds limit)
+result<std::shared_ptr<frame_connection>> open_frame_connection(
+    std::string const& address, std::chrono::milliseconds limit)
 {
     auto const target = TRY(parse_address(address));
-    auto socket = std::make_shared<tcp::socket>(process_io());
-    asio::steady_timer timer(process_io(), limit);
+    auto socket = std::make_shared<tcp::socket>(process_io_context());
+    asio::steady_timer timer(process_io_context(), limit);
     timer.async_wait([weak = std::weak_ptr(socket)](boost::system::error_code failure) {
-        auto late = weak.lock();
+        auto pending_socket = weak.lock();
         boost::system::error_code ignored;
-        if (!failure && late)
-            late->close(ignored);
+        if (!failure && pending_socket)
+            pending_socket->close(ignored);
     });
     auto const outcome = await_io([&](auto handler) { socket->async_connect(target, std::move(handler)); });
     timer.cancel();
@@ -212,13 +216,13 @@
     return std::make_shared<frame_connection>(std::move(*socket), address);
 }
 
-frame_listener::frame_listener(tcp::acceptor acceptor, accepted on_accept)
+frame_listener::frame_listener(tcp::acceptor acceptor, accept_handler on_accept)
     : m_acceptor(std::move(acceptor))
     , m_on_accept(std::move(on_accept))
 {
 }
 
-result<std::unique_ptr<frame_listener>> frame_listener::open(std::string const& address, accepted on_accept)
+result<std::unique_ptr<frame_listener>> frame_listener::open(std::string const& address, accept_handler on_accept)
 {
     auto acceptor = TRY(open_acceptor(address));
     std::unique_ptr<frame_listener> listener(new frame_listener(std::move(acceptor), std::move(on_accept)));
--- a/libraries/net/frame_connection.h
+++ b/libraries/net/frame_connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A connection between two processes of the fleet: framed messages over TCP after a keyed handshake. A peer that does
-// not hold the fleet's key is turned away before anything else is read.
+// A connection between two processes of the fleet: framed messages over TCP after a handshake that authenticates both
+// sides by the fleet's key. No other message of an unauthenticated peer is read.
 #pragma once
 
 #include "libraries/wire/codec.h"
@@ -13,21 +13,21 @@
 
 namespace shedhill::net {
 
-struct fleet_identity {
+struct process_identity {
     vm_name vm;
     wire::process_role role { wire::process_role::router };
     process_epoch epoch {};
-    // Shared by all processes of the fleet, from the settings.
+    // The secret key that all processes of the fleet share, from the settings.
     std::string key;
 };
 
-// Bytes of frames, kept apart by what they carry.
+// Bytes and frames sent by this process, separated by content.
 struct traffic_counts {
-    // Whole frames that carry no part of a request or an answer.
+    // The size of frames that carry no part of a request or an answer.
     std::uint64_t control_bytes { 0 };
-    // Bodies and answers.
+    // The size of request bodies and answer data.
     std::uint64_t payload_bytes { 0 };
-    // What frames around bodies and answers add to them.
+    // The framing overhead of frames that carry request bodies or answer data.
     std::uint64_t forwarding_bytes { 0 };
     std::uint64_t frames { 0 };
 };
@@ -38,22 +38,24 @@
 public:
     explicit frame_connection(boost::asio::ip::tcp::socket socket, std::string peer_address);
 
-    // Proves to each side that the other holds the key. Suspends the fiber.
-    result<wire::hello> shake_hands(fleet_identity const& self, handshake_side side, revision current);
+    // Exchanges hello and proof messages, by which each side proves that it holds the fleet's key. Returns the peer's
+    // hello, or an error if the peer does not hold the key or takes longer than three seconds. Suspends the fiber.
+    result<wire::hello> perform_handshake(process_identity const& self, handshake_side side, revision current);
 
-    // Reads the next message. Suspends the fiber.
+    // Reads the next message. Returns an error if the connection ends or the frame is invalid. Suspends the fiber.
     result<wire::message> read();
 
-    // Queues a message; does not suspend. A peer that does not read is cut off when too much is queued.
+    // Queues a message without suspending the fiber. Aborts the connection if more than 64 MiB are queued.
     void send(wire::message const& message);
 
-    // Ends reads and writes. What is queued is sent first.
+    // Closes the connection after the queued messages are sent.
     void close();
-    // Ends the connection at once.
+    // Closes the connection immediately and discards the queued messages.
     void abort();
 
     [[nodiscard]] std::string const& peer() const { return m_peer; }
-    [[nodiscard]] bool is_drained() const { return m_queue.empty(); }
+    [[nodiscard]] bool is_send_queue_empty() const { return m_queue.empty(); }
+    // The traffic that all connections of this process have sent.
     [[nodiscard]] static traffic_counts const& sent_traffic();
 
 private:
@@ -61,7 +63,7 @@
 
     boost::asio::ip::tcp::socket m_socket;
     std::string m_peer;
-    // Small until the peer has shown that it holds the key.
+    // In bytes; small until the peer is authenticated.
     std::size_t m_frame_limit;
     std::string m_input;
     std::size_t m_input_used { 0 };
@@ -71,26 +73,27 @@
     bool m_is_closing { false };
 };
 
-// Opens a connection to "address:port". Suspends the fiber.
-result<std::shared_ptr<frame_connection>> connect_frames(std::string const& address, std::chrono::milliseconds limit);
+// Opens a connection to "address:port", without the handshake. Suspends the fiber for at most the time limit.
+result<std::shared_ptr<frame_connection>> open_frame_connection(
+    std::string const& address, std::chrono::milliseconds limit);
 
-// Accepts connections and hands each to a fiber of its own.
+// Accepts connections and calls the handler for each in a new fiber.
 class frame_listener {
 public:
-    using accepted = std::function<void(std::shared_ptr<frame_connection>)>;
+    using accept_handler = std::function<void(std::shared_ptr<frame_connection>)>;
 
-    // Port 0 lets the system choose.
-    static result<std::unique_ptr<frame_listener>> open(std::string const& address, accepted on_accept);
+    // With port 0 the system assigns a free port.
+    static result<std::unique_ptr<frame_listener>> open(std::string const& address, accept_handler on_accept);
 
     [[nodiscard]] std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
     void close();
 
 private:
-    frame_listener(boost::asio::ip::tcp::acceptor acceptor, accepted on_accept);
+    frame_listener(boost::asio::ip::tcp::acceptor acceptor, accept_handler on_accept);
     void accept_next();
 
     boost::asio::ip::tcp::acceptor m_acceptor;
-    accepted m_on_accept;
+    accept_handler m_on_accept;
 };
 
 } // namespace shedhill::net
--- a/libraries/net/http.h
+++ b/libraries/net/http.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// HTTP for callers, engines, the platform and operators, by Boost.Beast. This header keeps Beast out of the files that
-// use it.
+// The HTTP server and client, which serve callers, engines, the platform and operators. They use Boost.Beast, which
+// this header does not expose to the files that include it.
 #pragma once
 
 #include "base/error.h"
@@ -26,7 +26,7 @@
     std::vector<http_header> headers;
     std::string body;
 
-    // The value of the first header of that name, whatever its case; empty if there is none.
+    // Returns the value of the first header with this name (case-insensitive), or an empty string if there is none.
     [[nodiscard]] std::string header(std::string_view name) const;
 };
 
@@ -37,7 +37,7 @@
     std::string body;
 };
 
-// One request at a server, and the way to answer it. Used by one fiber.
+// A request received by a server, and the functions to answer it. Not more than one fiber uses an exchange.
 class http_exchange {
 public:
     virtual ~http_exchange() = default;
@@ -45,8 +45,8 @@
     [[nodiscard]] virtual http_request const& request() const = 0;
     virtual result<void> respond(http_response const& response) = 0;
 
-    // A streamed answer. An answer that is aborted ends without its last chunk, so that the caller sees it is not
-    // whole.
+    // A streamed answer uses the chunked transfer encoding. An aborted answer ends without its last chunk, so that the
+    // caller detects that it is incomplete.
     virtual result<void> start_stream(
         std::uint16_t status, std::string const& content_type, std::vector<http_header> const& headers)
         = 0;
@@ -54,16 +54,18 @@
     virtual result<void> end_stream() = 0;
     virtual void abort_stream() = 0;
 
-    // Called once, on the scheduler's own context, if the caller closes the connection before the answer has ended.
-    virtual void watch_caller(std::function<void()> on_gone) = 0;
+    // Registers a function that is called once, in the context of the scheduler, if the caller closes the connection
+    // before the answer is complete.
+    virtual void set_disconnect_handler(std::function<void()> on_disconnect) = 0;
 };
 
 struct http_limits {
     std::size_t header_bytes { std::size_t { 16 } << 10 };
     std::size_t body_bytes { std::size_t { 4 } << 20 };
-    // How long a caller may take to send a request, or to take a part of the answer.
-    std::chrono::milliseconds read { 30000 };
-    std::chrono::milliseconds write { 30000 };
+    // The maximum time for receiving a request, including the idle time before it, and for sending one part of an
+    // answer.
+    std::chrono::milliseconds read_timeout { 30000 };
+    std::chrono::milliseconds write_timeout { 30000 };
 };
 
 class http_server {
@@ -75,29 +77,33 @@
     virtual ~http_server() = default;
 
     [[nodiscard]] virtual std::uint16_t port() const = 0;
-    // Takes no more connections; those that are open go on.
+    // Stops accepting connections. Open connections remain usable.
     virtual void close() = 0;
 };
 
-// How a streamed call ended, as far as the answer's being whole is concerned.
-enum class http_call_end { whole, not_sent, cut, cancelled };
+// How a streamed call ended: with a complete answer, before the request was sent, by a failure after the request may
+// have been sent, or by cancellation.
+enum class http_call_outcome { complete, not_sent, interrupted, cancelled };
 
+// A client call whose answer is streamed.
 class http_call {
 public:
     using on_head = std::function<void(std::uint16_t status, std::string const& content_type)>;
     using on_data = std::function<void(std::string_view data)>;
 
-    static std::shared_ptr<http_call> make();
+    static std::shared_ptr<http_call> create();
     virtual ~http_call() = default;
 
-    // Sends the request and hands over the answer as it comes. Suspends the fiber until the end.
-    virtual http_call_end run(std::string const& address, http_request const& sent, std::chrono::milliseconds limit,
+    // Connects, sends the request and passes the parts of the answer to the functions as they arrive. Connecting may
+    // take the time limit or two seconds, whichever is less; the rest of the call may take the time limit. Suspends the
+    // fiber until the call ends.
+    virtual http_call_outcome run(std::string const& address, http_request const& sent, std::chrono::milliseconds limit,
         on_head const& head, on_data const& data)
         = 0;
     virtual void cancel() = 0;
 };
 
-// One request with its whole answer.
+// Sends a request and returns the complete answer. The time limit applies to the whole call. Suspends the fiber.
 result<http_response> fetch(std::string const& address, http_request const& sent, std::chrono::milliseconds limit);
 
 } // namespace shedhill::net
--- a/libraries/net/http_client.cpp
+++ b/libraries/net/http_client.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// HTTP calls. Each has a connection of its own, so that "nothing was sent" can be told from "something may have been".
+// HTTP client calls. Each call opens its own connection, so that it can distinguish a request that was not sent from
+// one that may have been sent.
 #include "libraries/net/address.h"
 #include "libraries/net/await.h"
 #include "libraries/net/fiber_scheduler.h"
@@ -18,8 +19,9 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-constexpr std::chrono::milliseconds connect_limit { 2000 };
-constexpr std::size_t piece_size = 16384;
+constexpr std::chrono::milliseconds max_connect_time { 2000 };
+// The size in bytes of the buffer for one part of an answer.
+constexpr std::size_t read_buffer_size = 16384;
 
 http::request<http::string_body> to_message(std::string const& address, http_request const& sent)
 {
@@ -39,27 +41,27 @@
 class streamed_call final : public http_call {
 public:
     streamed_call()
-        : m_stream(process_io())
+        : m_stream(process_io_context())
     {
     }
 
-    http_call_end run(std::string const& address, http_request const& sent, std::chrono::milliseconds limit,
+    http_call_outcome run(std::string const& address, http_request const& sent, std::chrono::milliseconds limit,
         on_head const& head, on_data const& data) override
     {
         auto const target = parse_address(address);
         if (!target || m_is_cancelled)
-            return http_call_end::not_sent;
-        m_stream.expires_after(std::min(connect_limit, limit));
+            return http_call_outcome::not_sent;
+        m_stream.expires_after(std::min(max_connect_time, limit));
         if (await_io([&](auto handler) { m_stream.async_connect(*target, std::move(handler)); }).failure)
-            return http_call_end::not_sent;
+            return http_call_outcome::not_sent;
         boost::system::error_code ignored;
         m_stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
         if (m_is_cancelled)
-            return http_call_end::not_sent;
+            return http_call_outcome::not_sent;
         m_stream.expires_after(limit);
         auto const message = to_message(address, sent);
         if (await_io([&](auto handler) { http::async_write(m_stream, message, std::move(handler)); }).failure)
-            return ended_early();
+            return failure_outcome();
         return read_answer(head, data);
     }
 
@@ -70,12 +72,12 @@
     }
 
 private:
-    [[nodiscard]] http_call_end ended_early() const
+    [[nodiscard]] http_call_outcome failure_outcome() const
     {
-        return m_is_cancelled ? http_call_end::cancelled : http_call_end::cut;
+        return m_is_cancelled ? http_call_outcome::cancelled : http_call_outcome::interrupted;
     }
 
-    http_call_end read_answer(on_head const& head, on_data const& data)
+    http_call_outcome read_answer(on_head const& head, on_data const& data)
     {
         beast::flat_buffer buffer;
         http::response_parser<http::buffer_body> parser;
@@ -83,24 +85,24 @@
         if (await_io([&](auto handler) {
                 http::async_read_header(m_stream, buffer, parser, std::move(handler));
             }).failure)
-            return ended_early();
+            return failure_outcome();
         head(static_cast<std::uint16_t>(parser.get().result_int()),
             std::string(parser.get()[http::field::content_type]));
-        std::array<char, piece_size> piece {};
+        std::array<char, read_buffer_size> read_buffer {};
         while (!parser.is_done()) {
-            parser.get().body().data = piece.data();
-            parser.get().body().size = piece.size();
+            parser.get().body().data = read_buffer.data();
+            parser.get().body().size = read_buffer.size();
             auto const outcome
                 = await_io([&](auto handler) { http::async_read_some(m_stream, buffer, parser, std::move(handler)); });
             if (outcome.failure && outcome.failure != http::error::need_buffer)
-                return ended_early();
+                return failure_outcome();
             if (m_is_cancelled)
-                return http_call_end::cancelled;
-            auto const filled = piece.size() - parser.get().body().size;
+                return http_call_outcome::cancelled;
+            auto const filled = read_buffer.size() - parser.get().body().size;
             if (filled > 0)
-                data(std::string_view(piece.data(), filled));
+                data(std::string_view(read_buffer.data(), filled));
         }
-        return http_call_end::whole;
+        return http_call_outcome::complete;
     }
 
     beast::tcp_stream m_stream;
@@ -109,12 +111,12 @@
 
 } // namespace
 
-std::shared_ptr<http_call> http_call::make() { return std::make_shared<streamed_call>(); }
+std::shared_ptr<http_call> http_call::create() { return std::make_shared<streamed_call>(); }
 
 result<http_response> fetch(std::string const& address, http_request const& sent, std::chrono::milliseconds limit)
 {
     auto const target = TRY(parse_address(address));
-    beast::tcp_stream stream(process_io());
+    beast::tcp_stream stream(process_io_context());
     stream.expires_after(limit);
     auto outcome = await_io([&](auto handler) { stream.async_connect(target, std::move(handler)); });
     if (outcome.failure)
--- a/libraries/net/http_server.cpp
+++ b/libraries/net/http_server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The HTTP server: a fiber for each connection.
+// The HTTP server. Each connection is served by its own fiber.
 #include "libraries/net/address.h"
 #include "libraries/net/await.h"
 #include "libraries/net/fiber_scheduler.h"
@@ -39,7 +39,7 @@
     result<void> respond(http_response const& response) override
     {
         m_has_answered = true;
-        m_watch.reset();
+        m_disconnect_handler.reset();
         http::response<http::string_body> message;
         message.result(response.status);
         message.version(11);
@@ -50,9 +50,9 @@
             message.set(name, value);
         message.body() = response.body;
         message.prepare_payload();
-        m_stream.expires_after(m_limits.write);
+        m_stream.expires_after(m_limits.write_timeout);
         auto const outcome = await_io([&](auto handler) { http::async_write(m_stream, message, std::move(handler)); });
-        return checked(outcome, "write answer");
+        return check_outcome(outcome, "write answer");
     }
 
     result<void> start_stream(
@@ -69,58 +69,59 @@
         for (auto const& [name, value] : headers)
             message.set(name, value);
         http::response_serializer<http::empty_body> serializer(message);
-        m_stream.expires_after(m_limits.write);
+        m_stream.expires_after(m_limits.write_timeout);
         auto const outcome
             = await_io([&](auto handler) { http::async_write_header(m_stream, serializer, std::move(handler)); });
-        return checked(outcome, "write answer");
+        return check_outcome(outcome, "write answer");
     }
 
     result<void> write_chunk(std::string_view data) override
     {
         if (data.empty())
             return {};
-        m_stream.expires_after(m_limits.write);
+        m_stream.expires_after(m_limits.write_timeout);
         auto const outcome = await_io([&](auto handler) {
             asio::async_write(m_stream, http::make_chunk(asio::buffer(data)), std::move(handler));
         });
-        return checked(outcome, "write answer");
+        return check_outcome(outcome, "write answer");
     }
 
     result<void> end_stream() override
     {
-        m_watch.reset();
-        m_stream.expires_after(m_limits.write);
+        m_disconnect_handler.reset();
+        m_stream.expires_after(m_limits.write_timeout);
         auto const outcome
             = await_io([&](auto handler) { asio::async_write(m_stream, http::make_chunk_last(), std::move(handler)); });
-        return checked(outcome, "write answer");
+        return check_outcome(outcome, "write answer");
     }
 
     void abort_stream() override
     {
-        m_watch.reset();
+        m_disconnect_handler.reset();
         m_keep_alive = false;
         boost::system::error_code ignored;
         m_stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
         m_stream.close();
     }
 
-    void watch_caller(std::function<void()> on_gone) override
+    void set_disconnect_handler(std::function<void()> on_disconnect) override
     {
-        m_watch = std::make_shared<std::function<void()>>(std::move(on_gone));
+        m_disconnect_handler = std::make_shared<std::function<void()>>(std::move(on_disconnect));
         m_stream.socket().async_wait(tcp::socket::wait_read,
-            [weak = std::weak_ptr(m_watch), &socket = m_stream.socket()](boost::system::error_code failure) {
-                auto const watch = weak.lock();
-                if (!watch || failure == asio::error::operation_aborted)
+            [weak = std::weak_ptr(m_disconnect_handler), &socket = m_stream.socket()](
+                boost::system::error_code failure) {
+                auto const callback = weak.lock();
+                if (!callback || failure == asio::error::operation_aborted)
                     return;
                 boost::system::error_code problem;
-                // Readable with nothing to read means closed. Another request, sent ahead, may wait its turn.
+                // A readable socket without available bytes is closed. Available bytes belong to a pipelined request.
                 if (failure || socket.available(problem) == 0)
-                    (*watch)();
+                    (*callback)();
             });
     }
 
 private:
-    result<void> checked(io_outcome const& outcome, std::string const& step)
+    result<void> check_outcome(io_outcome const& outcome, std::string const& step)
     {
         if (!outcome.failure)
             return {};
@@ -133,8 +134,8 @@
     http_request m_request;
     bool m_keep_alive;
     bool m_has_answered { false };
-    // Held only while the caller is watched, so that a late notice finds nothing to call.
-    std::shared_ptr<std::function<void()>> m_watch;
+    // Null while the connection is not watched; a completion handler that runs late finds its weak pointer expired.
+    std::shared_ptr<std::function<void()>> m_disconnect_handler;
 };
 
 http_request to_request(http::request<http::string_body> message)
@@ -159,13 +160,13 @@
     return 400;
 }
 
-bool is_caller_gone(boost::system::error_code failure)
+bool is_disconnect(boost::system::error_code failure)
 {
     return failure == http::error::end_of_stream || failure == asio::error::connection_reset
         || failure == asio::error::operation_aborted;
 }
 
-void refuse_unreadable(beast::tcp_stream& stream, http_limits const& limits, boost::system::error_code failure)
+void refuse_invalid_request(beast::tcp_stream& stream, http_limits const& limits, boost::system::error_code failure)
 {
     server_exchange exchange(stream, limits, {}, false);
     http_response refusal;
@@ -173,7 +174,7 @@
     refusal.content_type = "application/json";
     refusal.headers.push_back({ "x-shedhill-outcome", "not-run" });
     refusal.body = R"({"error":{"type":"bad_request","outcome":"not-run","reason":")" + failure.message() + "\"}}\n";
-    // A caller that cannot be told has gone.
+    // A failure to send is ignored: the caller has closed the connection.
     (void)exchange.respond(refusal);
 }
 
@@ -187,13 +188,13 @@
         http::request_parser<http::string_body> parser;
         parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
         parser.body_limit(limits.body_bytes);
-        stream.expires_after(limits.read);
+        stream.expires_after(limits.read_timeout);
         auto const [failure, size]
             = await_io([&](auto handler) { http::async_read(stream, buffer, parser, std::move(handler)); });
-        if (is_caller_gone(failure))
+        if (is_disconnect(failure))
             break;
         if (failure) {
-            refuse_unreadable(stream, limits, failure);
+            refuse_invalid_request(stream, limits, failure);
             break;
         }
         stream.expires_never();
@@ -209,7 +210,7 @@
 public:
     listening_server(tcp::acceptor acceptor, http_limits const& limits, handler handle)
         : m_acceptor(std::move(acceptor))
-        , m_shared(std::make_shared<shared_part>(shared_part { limits, std::move(handle) }))
+        , m_shared(std::make_shared<shared_state>(shared_state { limits, std::move(handle) }))
     {
         accept_next();
     }
@@ -223,8 +224,8 @@
     }
 
 private:
-    // Outlives the server in the connections that are still open.
-    struct shared_part {
+    // Open connections share this state, which can outlive the server.
+    struct shared_state {
         http_limits limits;
         handler handle;
     };
@@ -243,7 +244,7 @@
     }
 
     tcp::acceptor m_acceptor;
-    std::shared_ptr<shared_part> m_shared;
+    std::shared_ptr<shared_state> m_shared;
 };
 
 } // namespace
--- a/libraries/net/keys.cpp
+++ b/libraries/net/keys.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// OpenSSL's digests behind plain strings.
+// Implements digests, message authentication and random bytes by OpenSSL.
 #include "libraries/net/keys.h"
 
 #include "base/verify.h"
--- a/libraries/operations/config_session.h
+++ b/libraries/operations/config_session.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What an operator does with the configuration: reads it whole, plans a change against it, and commits that change
-// once, also when the answer is lost or the other partner's operators are at work at the same time.
+// The operators' access to the configuration: loads it, computes a change against it, and commits that change exactly
+// once, even if an answer is lost or operators of another partner commit changes concurrently.
 #pragma once
 
 #include "libraries/config/catalog.h"
@@ -16,18 +16,18 @@
 struct difference {
     difference_kind kind { difference_kind::added };
     std::string key;
-    // As JSON; empty where there is none.
+    // The object as JSON before and after the change; empty if it does not exist.
     std::string before;
     std::string after;
 };
 
 enum class submit_state {
     committed,
-    // Nothing had to be changed.
+    // The configuration already matched the desired objects.
     unchanged,
-    // Someone else changed the same objects; nothing was written.
+    // Another commit changed the same objects concurrently; nothing was written.
     raced,
-    // It cannot be told whether the change was accepted. Its id tells when the platform answers again.
+    // It is unknown whether the change was accepted. Looking up its id answers this once the platform is available.
     unknown,
 };
 
@@ -35,20 +35,22 @@
     submit_state state { submit_state::unknown };
     shedhill::revision revision {};
     std::string change_id;
-    // Keys that others changed while this change was on its way.
+    // Keys of objects that other commits changed while this change was being submitted.
     std::vector<std::string> changed_by_others;
 };
 
-// Reads the snapshot and all changes after it.
+// Loads the stored snapshot and applies all later changes.
 result<config::catalog> load_catalog(table_service::http_platform& platform);
 
-// What applying the wanted objects of a partner would do. With pruning, objects not wanted are removed.
+// Whether objects of the partner that are not among the desired objects are kept or removed.
 enum class pruning { keep_others, remove_others };
-std::vector<difference> plan(config::catalog const& present, partner_name const& partner,
-    std::vector<config::object> const& wanted, pruning others);
+// Returns the differences between the current objects of a partner and the desired ones.
+std::vector<difference> plan(config::catalog const& current, partner_name const& partner,
+    std::vector<config::object> const& desired, pruning mode);
 
-// Commits what plan() finds. Tries again after a race that concerned other objects.
+// Commits the differences that plan() returns. Makes up to eight attempts, as long as concurrent commits changed only
+// other objects.
 result<submit_report> submit(table_service::http_platform& platform, partner_name const& partner,
-    std::vector<config::object> const& wanted, pruning others);
+    std::vector<config::object> const& desired, pruning mode);
 
 } // namespace shedhill::operations
--- a/libraries/router/link_table.cpp
+++ b/libraries/router/link_table.cpp
@@ -228,7 +228,7 @@
 void link_table::retry_after_backoff(link& vm_link, step_context& step)
 {
     auto const half = vm_link.backoff / 2;
-    auto const jitter = milliseconds(step.draw().below(static_cast<std::size_t>(half.count()) + 1));
+    auto const jitter = milliseconds(step.draw().next_below(static_cast<std::size_t>(half.count()) + 1));
     vm_link.retry_at = step.now() + half + jitter;
 }
 
--- a/libraries/router/step_context.h
+++ b/libraries/router/step_context.h
@@ -3,7 +3,7 @@
 // numbers and the effects so far.
 #pragma once
 
-#include "base/random_draw.h"
+#include "base/random_generator.h"
 #include "libraries/router/effects.h"
 
 #include <utility>
@@ -19,7 +19,7 @@
     }
 
     [[nodiscard]] instant now() const { return m_now; }
-    random_draw& draw() { return m_draw; }
+    random_generator& draw() { return m_draw; }
 
     void emit(effect emitted) { m_effects.push_back(std::move(emitted)); }
     void count(counter which) { emit(count_event { which }); }
@@ -32,7 +32,7 @@
 
 private:
     instant m_now;
-    random_draw m_draw;
+    random_generator m_draw;
     effect_list m_effects;
 };
 
--- a/libraries/settings/setting_table.cpp
+++ b/libraries/settings/setting_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Parsing by cxxopts; kinds, ranges and variables by the table.
+// Parses flags by cxxopts and checks every value against the type and range in the table.
 #include "libraries/settings/setting_table.h"
 
 #include <algorithm>
@@ -23,9 +23,9 @@
 }
 
 void setting_table::add_number(
-    std::string const& name, std::int64_t fallback, std::int64_t least, std::int64_t most, std::string const& help)
+    std::string const& name, std::int64_t fallback, std::int64_t min, std::int64_t max, std::string const& help)
 {
-    m_settings.push_back({ name, kind::number, std::to_string(fallback), least, most, {}, help });
+    m_settings.push_back({ name, kind::number, std::to_string(fallback), min, max, {}, help });
 }
 
 void setting_table::add_flag(std::string const& name, std::string const& help)
@@ -48,7 +48,7 @@
             options.add_options()("positional", "", cxxopts::value<std::vector<std::string>>());
             options.parse_positional({ "positional" });
         }
-        // NOTE: This version of the library takes an array that it does not change, but declares it so.
+        // NOTE: This version of cxxopts takes an array of non-const pointers, which it does not modify.
         auto const parsed = options.parse(count, const_cast<char const**>(arguments));
         if (m_has_positional && parsed.count("positional") > 0)
             values.m_positional = parsed["positional"].as<std::vector<std::string>>();
@@ -61,14 +61,14 @@
                     values.m_flags[described.name] = true;
                 continue;
             }
-            auto const* variable = std::getenv(variable_of(described.name).c_str());
+            auto const* variable = std::getenv(environment_variable(described.name).c_str());
             auto const value = is_given ? parsed[described.name].as<std::string>()
                 : variable != nullptr   ? std::string(variable)
                                         : described.fallback;
             TRY_VOID(store(described, value, values));
         }
-    } catch (cxxopts::exceptions::exception const& refused) {
-        return fail("read settings", m_program, refused.what());
+    } catch (cxxopts::exceptions::exception const& parse_error) {
+        return fail("read settings", m_program, parse_error.what());
     }
     return values;
 }
@@ -80,14 +80,14 @@
     for (auto const& described : m_settings) {
         out << "  --" << described.name;
         if (described.type != kind::flag)
-            out << "  (" << variable_of(described.name) << "; " << allowed(described) << "; default '"
-                << described.fallback << "')";
+            out << "  (" << environment_variable(described.name) << "; " << describe_allowed_values(described)
+                << "; default '" << described.fallback << "')";
         out << "\n      " << described.help << '\n';
     }
     return out.str();
 }
 
-std::string setting_table::variable_of(std::string const& name)
+std::string setting_table::environment_variable(std::string const& name)
 {
     std::string variable = "SHEDHILL_";
     for (auto const character : name)
@@ -100,14 +100,14 @@
 {
     auto const refuse = [&] {
         return fail("read settings", m_program,
-            "--" + described.name + " (" + variable_of(described.name) + ") is '" + value + "' but must be "
-                + allowed(described));
+            "--" + described.name + " (" + environment_variable(described.name) + ") is '" + value + "' but must be "
+                + describe_allowed_values(described));
     };
     if (described.type == kind::number) {
         std::int64_t number = 0;
         auto const* end = value.data() + value.size();
         auto const [stop, problem] = std::from_chars(value.data(), end, number);
-        if (problem != std::errc() || stop != end || number < described.least || number > described.most)
+        if (problem != std::errc() || stop != end || number < described.min || number > described.max)
             return refuse();
         values.m_numbers[described.name] = number;
         return {};
@@ -118,10 +118,10 @@
     return {};
 }
 
-std::string setting_table::allowed(setting const& described)
+std::string setting_table::describe_allowed_values(setting const& described)
 {
     if (described.type == kind::number)
-        return "a whole number from " + std::to_string(described.least) + " to " + std::to_string(described.most);
+        return "a whole number from " + std::to_string(described.min) + " to " + std::to_string(described.max);
     if (described.type == kind::text)
         return "text";
     std::string words = "one of";
--- a/libraries/settings/setting_table.h
+++ b/libraries/settings/setting_table.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Settings by flags and environment variables, each with a kind and a range. A flag goes before its variable, and the
-// variable before the default. What is unknown or out of range is refused with the names of flag and variable.
+// Settings from command-line flags and environment variables, each with a type and a range. A flag overrides its
+// variable, and the variable overrides the default. The error for a value out of range names the flag and the variable.
 #pragma once
 
 #include "base/error.h"
@@ -29,17 +29,20 @@
 
 class setting_table {
 public:
-    // The program's name is also the prefix of its variables: SHEDHILL_QUEUE_BOUND for --queue-bound.
+    // The program's name appears in errors and in help(). All variables have the prefix SHEDHILL_: for example
+    // SHEDHILL_QUEUE_BOUND for --queue-bound.
     explicit setting_table(std::string program)
         : m_program(std::move(program))
     {
     }
 
     void add_text(std::string const& name, std::string const& fallback, std::string const& help);
-    // One of a few words.
+    // The value must be one of the choices; the first choice is the default.
     void add_choice(std::string const& name, std::vector<std::string> const& choices, std::string const& help);
+    // A whole number from min to max.
     void add_number(
-        std::string const& name, std::int64_t fallback, std::int64_t least, std::int64_t most, std::string const& help);
+        std::string const& name, std::int64_t fallback, std::int64_t min, std::int64_t max, std::string const& help);
+    // A flag without a value, which has no environment variable.
     void add_flag(std::string const& name, std::string const& help);
     void allow_positional() { m_has_positional = true; }
 
@@ -53,15 +56,15 @@
         std::string name;
         kind type { kind::text };
         std::string fallback;
-        std::int64_t least { 0 };
-        std::int64_t most { 0 };
+        std::int64_t min { 0 };
+        std::int64_t max { 0 };
         std::vector<std::string> choices;
         std::string help;
     };
 
-    [[nodiscard]] static std::string variable_of(std::string const& name);
+    [[nodiscard]] static std::string environment_variable(std::string const& name);
     [[nodiscard]] result<void> store(setting const& described, std::string const& value, setting_values& values) const;
-    [[nodiscard]] static std::string allowed(setting const& described);
+    [[nodiscard]] static std::string describe_allowed_values(setting const& described);
 
     std::string m_program;
     std::vector<setting> m_settings;
--- a/libraries/table_service/http_platform.cpp
+++ b/libraries/table_service/http_platform.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The binding to the platform's protocol.
+// Implements the platform's HTTP protocol.
 #include "libraries/table_service/http_platform.h"
 
 #include "libraries/net/http.h"
@@ -13,18 +13,18 @@
 
 constexpr std::uint16_t status_ok = 200;
 constexpr std::uint16_t status_conflict = 409;
-constexpr int claim_rounds = 4;
-constexpr std::uint64_t most_changes_at_once = 512;
+constexpr int max_claim_rounds = 4;
+constexpr std::uint64_t max_changes_per_read = 512;
 constexpr char const* head_key = "config/head";
 
 std::string change_key(std::uint64_t number)
 {
-    // Of one length, so that the order of the keys is the order of the revisions.
+    // The number is padded to twelve digits, so that the lexicographic order of keys is the order of revisions.
     std::string digits = std::to_string(number);
     return "config/change/" + std::string(12 - std::min<std::size_t>(12, digits.size()), '0') + digits;
 }
 
-std::string claim_key(claim const& made) { return "claim/" + made.key; }
+std::string claim_key(claim const& entry) { return "claim/" + entry.key; }
 
 boost::json::object condition(std::string const& key, std::uint64_t version)
 {
@@ -36,7 +36,7 @@
     return { { "key", key }, { "value", value } };
 }
 
-std::uint64_t number_in(std::string const& text)
+std::uint64_t digits_to_number(std::string const& text)
 {
     std::uint64_t number = 0;
     for (auto const digit : text) {
@@ -67,21 +67,21 @@
 result<shedhill::revision> http_platform::read_head()
 {
     auto const rows = TRY(read_rows({ head_key }));
-    return shedhill::revision(number_in(rows.front().value));
+    return shedhill::revision(digits_to_number(rows.front().value));
 }
 
 result<std::vector<numbered_change>> http_platform::read_changes(shedhill::revision after)
 {
     auto const from = after.value() + 1;
     auto const answer = TRY(post("read changes", "/v1/range",
-        { { "from", change_key(from) }, { "to", change_key(from + most_changes_at_once) } }));
+        { { "from", change_key(from) }, { "to", change_key(from + max_changes_per_read) } }));
     std::vector<numbered_change> changes;
     for (auto const& item : TRY(array_member(answer, "rows", "read changes", m_address))) {
         if (!item.is_object())
             return fail("read changes", m_address, "a row is not an object");
         auto const key = text_member(item.as_object(), "key");
         auto parsed = TRY(config::parse_change(text_member(item.as_object(), "value")));
-        changes.push_back({ shedhill::revision(number_in(key)), std::move(parsed) });
+        changes.push_back({ shedhill::revision(digits_to_number(key)), std::move(parsed) });
     }
     return changes;
 }
@@ -91,21 +91,22 @@
     auto const rows = read_rows({ head_key });
     if (!rows)
         return { commit_state::unknown, {} };
-    if (number_in(rows->front().value) != expected_head.value())
+    if (digits_to_number(rows->front().value) != expected_head.value())
         return { commit_state::raced, {} };
     shedhill::revision const next(expected_head.value() + 1);
     auto const number = std::to_string(next.value());
-    auto const made = transact({ condition(head_key, rows->front().version) },
+    auto const write_result = transact({ condition(head_key, rows->front().version) },
         { put(head_key, number), put(change_key(next.value()), config::serialize_change(change)),
             put("config/id/" + change.id, number) },
         {});
-    if (made && *made)
+    if (write_result && *write_result)
         return { commit_state::committed, next };
-    // NOTE: A refusal is no proof either: the first answer may have been lost and the request sent again on the way.
+    // NOTE: A failed condition does not prove that the change was not written: the first answer may have been lost and
+    // the request repeated in transit.
     auto const found = find_change(change.id);
     if (found && *found)
         return { commit_state::committed, **found };
-    if (made && !*made && found)
+    if (write_result && !*write_result && found)
         return { commit_state::raced, {} };
     return { commit_state::unknown, {} };
 }
@@ -115,38 +116,39 @@
     auto const rows = TRY(read_rows({ "config/id/" + id }));
     if (rows.front().version == 0)
         return std::optional<shedhill::revision>();
-    return std::optional(shedhill::revision(number_in(rows.front().value)));
+    return std::optional(shedhill::revision(digits_to_number(rows.front().value)));
 }
 
 std::vector<claim_verdict> http_platform::write_claims(std::vector<claim> const& claims)
 {
     std::vector<claim_verdict> verdicts(claims.size(), claim_verdict::unavailable);
-    for (int round = 0; round < claim_rounds; ++round) {
+    for (int round = 0; round < max_claim_rounds; ++round) {
         boost::json::array conditions;
         boost::json::array puts;
-        std::vector<std::size_t> open;
+        std::vector<std::size_t> pending;
         for (std::size_t index = 0; index < claims.size(); ++index) {
             if (verdicts[index] != claim_verdict::unavailable)
                 continue;
-            // Two claims of one key in one batch: the later one waits for the first to be settled.
+            // If a batch has two claims for one key, the later claim is written in a later round, after the first one
+            // has its verdict.
             auto const is_repeated = std::ranges::any_of(
-                open, [&](std::size_t earlier) { return claims[earlier].key == claims[index].key; });
+                pending, [&](std::size_t earlier) { return claims[earlier].key == claims[index].key; });
             if (is_repeated)
                 continue;
-            open.push_back(index);
+            pending.push_back(index);
             conditions.push_back(condition(claim_key(claims[index]), 0));
             puts.push_back(put(claim_key(claims[index]), claims[index].id));
         }
-        if (open.empty())
+        if (pending.empty())
             break;
-        auto const made = transact(std::move(conditions), std::move(puts), {});
-        if (made && *made) {
-            for (auto const index : open)
+        auto const write_result = transact(std::move(conditions), std::move(puts), {});
+        if (write_result && *write_result) {
+            for (auto const index : pending)
                 verdicts[index] = claim_verdict::won;
             continue;
         }
-        // Some row exists, or the answer was lost after the write: only the rows themselves can tell.
-        settle_by_reading(claims, verdicts);
+        // Either a row exists already, or the answer was lost after the write. The rows show which.
+        resolve_from_stored_rows(claims, verdicts);
     }
     return verdicts;
 }
@@ -155,8 +157,8 @@
 {
     std::vector<std::string> keys;
     keys.reserve(claims.size());
-    for (auto const& held : claims)
-        keys.push_back(claim_key(held));
+    for (auto const& entry : claims)
+        keys.push_back(claim_key(entry));
     auto const rows = TRY(read_rows(keys));
     for (std::size_t index = 0; index < rows.size(); ++index) {
         if (rows[index].version == 0 || rows[index].value != claims[index].id)
@@ -168,10 +170,10 @@
 
 result<std::vector<vm_record>> http_platform::list_vms()
 {
-    auto listed = TRY(list_vms_after(0));
-    if (!listed)
-        return fail("list VMs", m_address, "the platform says that nothing has changed since nothing");
-    return std::move(*listed);
+    auto vms = TRY(list_vms_after(0));
+    if (!vms)
+        return fail("list VMs", m_address, "the platform reported an unchanged list although no version was given");
+    return std::move(*vms);
 }
 
 result<std::optional<std::vector<vm_record>>> http_platform::list_vms_if_changed()
@@ -186,7 +188,7 @@
     boost::system::error_code failure;
     auto const listed_version = version == nullptr ? 0 : version->to_number<std::uint64_t>(failure);
     if (failure || listed_version == 0)
-        return fail("list VMs", m_address, "the answer has no version");
+        return fail("list VMs", m_address, "the answer has no valid version");
     if (listed_version == known_version)
         return std::optional<std::vector<vm_record>>();
     std::vector<vm_record> vms;
@@ -240,10 +242,10 @@
 
 result<std::vector<http_platform::row>> http_platform::read_rows(std::vector<std::string> const& keys)
 {
-    boost::json::array listed;
+    boost::json::array key_list;
     for (auto const& key : keys)
-        listed.emplace_back(key);
-    auto const answer = TRY(post("read table", "/v1/read", { { "keys", std::move(listed) } }));
+        key_list.emplace_back(key);
+    auto const answer = TRY(post("read table", "/v1/read", { { "keys", std::move(key_list) } }));
     std::vector<row> rows;
     for (auto const& item : TRY(array_member(answer, "rows", "read table", m_address))) {
         auto const* members = item.if_object();
@@ -255,7 +257,7 @@
         rows.push_back({ text_member(*members, "value"), failure ? 0 : number });
     }
     if (rows.size() != keys.size())
-        return fail("read table", m_address, "the answer does not match the question");
+        return fail("read table", m_address, "the number of rows in the answer does not match the number of keys");
     return rows;
 }
 
@@ -267,16 +269,16 @@
     auto const* members = answer.if_object();
     auto const* made = members == nullptr ? nullptr : members->if_contains("made");
     if (made == nullptr || !made->is_bool())
-        return fail("write table", m_address, "the answer does not say whether the write was made");
+        return fail("write table", m_address, "the answer has no boolean member 'made'");
     return made->as_bool();
 }
 
-void http_platform::settle_by_reading(std::vector<claim> const& claims, std::vector<claim_verdict>& verdicts)
+void http_platform::resolve_from_stored_rows(std::vector<claim> const& claims, std::vector<claim_verdict>& verdicts)
 {
     std::vector<std::string> keys;
     keys.reserve(claims.size());
-    for (auto const& made : claims)
-        keys.push_back(claim_key(made));
+    for (auto const& entry : claims)
+        keys.push_back(claim_key(entry));
     auto const rows = read_rows(keys);
     if (!rows)
         return;
--- a/libraries/table_service/http_platform.h
+++ b/libraries/table_service/http_platform.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The platform's table, object store and VM list over HTTP. The one file pair that knows the platform's protocol:
-// another binding need only meet the concept platform_service.
+// Client for the platform's table, object store and VM list over HTTP. Only this class depends on the platform's
+// protocol; a binding to another platform must satisfy the concept platform_service.
 #pragma once
 
 #include "base/error.h"
@@ -18,18 +18,19 @@
 
 enum class commit_state {
     committed,
-    // The head has moved: nothing was written.
+    // The head was not at the expected revision; nothing was written.
     raced,
-    // The answer was lost, and reading the change back did not succeed either.
+    // The platform could not be read or the answer was lost, and looking up the change failed as well.
     unknown,
 };
 
 struct commit_outcome {
     commit_state state { commit_state::unknown };
-    // The change's revision if it was committed.
+    // The change's revision if the state is committed.
     shedhill::revision revision {};
 };
 
+// The interface of a platform binding. http_platform documents the functions.
 template <typename T>
 concept platform_service
     = requires(T& service, config::change const& change, std::vector<claim> const& claims, std::string const& text)
@@ -66,7 +67,7 @@
         } -> std::same_as<result<void>>;
 };
 
-// All functions suspend the calling fiber.
+// All functions suspend the calling fiber. The time limit applies to each HTTP call.
 class http_platform {
 public:
     explicit http_platform(std::string address, std::chrono::milliseconds limit = std::chrono::milliseconds(2000))
@@ -75,17 +76,20 @@
     {
     }
 
+    // Returns the revision of the last committed change.
     result<shedhill::revision> read_head();
+    // Returns the changes after a revision in order, a limited number at a time.
     result<std::vector<numbered_change>> read_changes(shedhill::revision after);
-    // Writes the change as the revision after the expected head. A lost answer is read back by the change's id.
+    // Writes the change as the revision after the expected head. If the answer is lost, looks the change up by its id.
     commit_outcome commit(config::change const& change, shedhill::revision expected_head);
+    // Returns the revision of a committed change, or nothing if no change with this id was committed.
     result<std::optional<shedhill::revision>> find_change(std::string const& id);
-    // One verdict for each claim, in order.
+    // Writes the claims whose rows don't exist yet. Returns one verdict for each claim, in order.
     std::vector<claim_verdict> write_claims(std::vector<claim> const& claims);
-    // Removes those rows that still hold the claim's own id.
+    // Removes the row of each claim if it still holds the claim's id.
     result<void> release_claims(std::vector<claim> const& claims);
     result<std::vector<vm_record>> list_vms();
-    // Nothing if the list is the one that this object read last.
+    // Returns nothing if the list is unchanged since this object last read it.
     result<std::optional<std::vector<vm_record>>> list_vms_if_changed();
     result<std::string> get_object(std::string const& name);
     result<void> put_object(std::string const& name, std::string const& content);
@@ -93,20 +97,21 @@
 private:
     struct row {
         std::string value;
-        // Zero for a row that does not exist.
+        // Zero if the row does not exist.
         std::uint64_t version { 0 };
     };
 
     result<boost::json::value> post(
         std::string const& step, std::string const& target, boost::json::object const& body);
     result<std::vector<row>> read_rows(std::vector<std::string> const& keys);
-    // Whether the transaction was made; false if a condition did not hold.
+    // Returns whether the transaction was committed; false if a condition was not met.
     result<bool> transact(boost::json::array conditions, boost::json::array puts, boost::json::array removals);
-    void settle_by_reading(std::vector<claim> const& claims, std::vector<claim_verdict>& verdicts);
+    // Reads the rows of the claims without a verdict and sets the verdict of each claim whose row exists.
+    void resolve_from_stored_rows(std::vector<claim> const& claims, std::vector<claim_verdict>& verdicts);
 
     result<std::optional<std::vector<vm_record>>> list_vms_after(std::uint64_t known_version);
 
-    // The version of the list that was read last; zero for none.
+    // The version of the VM list that was read last; zero if none was read.
     std::uint64_t m_vms_version { 0 };
     std::string m_address;
     std::chrono::milliseconds m_limit;
--- a/libraries/wire/codec.cpp
+++ b/libraries/wire/codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The mapping between typed messages and their FlatBuffers form, one pair of functions for each message.
+// Converts typed messages to FlatBuffers tables and back, with one pair of functions for each message type.
 #include "libraries/wire/codec.h"
 
 #include "libraries/wire/generated/messages_generated.h"
@@ -24,11 +24,11 @@
 
 Offset<flatbuffers::Vector<std::uint8_t>> put_bytes(FlatBufferBuilder& builder, std::string const& bytes)
 {
-    // NOTE: CreateVector wants unsigned bytes; characters may be viewed as such.
+    // NOTE: CreateVector() takes unsigned bytes; the aliasing rules permit accessing characters as such.
     return builder.CreateVector(reinterpret_cast<std::uint8_t const*>(bytes.data()), bytes.size());
 }
 
-// The nearest value that the smaller type of a wire field can hold.
+// Clamps a value to the range from 0 to the maximum of a smaller wire type.
 template <typename Small>
 Small saturate(std::int64_t value)
 {
@@ -48,16 +48,16 @@
         milliseconds(entry.level_age()), entry.weight(), entry.tier() };
 }
 
-// Builds the payload table of each message. The overloads return its type tag and its offset.
+// Builds the payload table of a message. Each overload returns the payload's type tag and its offset in the builder.
 struct payload_builder {
-    struct built {
+    struct built_payload {
         schema::Payload tag;
         Offset<void> offset;
     };
 
     FlatBufferBuilder& builder;
 
-    built operator()(hello const& sent)
+    built_payload operator()(hello const& sent)
     {
         auto const vm = builder.CreateString(sent.vm.value());
         auto const nonce = put_bytes(builder, sent.nonce);
@@ -67,42 +67,42 @@
                 .Union() };
     }
 
-    built operator()(proof const& sent)
+    built_payload operator()(proof const& sent)
     {
         return { schema::Payload::Proof, schema::CreateProof(builder, put_bytes(builder, sent.mac)).Union() };
     }
 
-    built operator()(offer const& sent)
+    built_payload operator()(offer const& sent)
     {
         auto const entries = pack_entries(sent.entries);
         return { schema::Payload::Offer, schema::CreateOffer(builder, sent.revision.value(), entries).Union() };
     }
 
-    built operator()(offer_refused const& sent)
+    built_payload operator()(offer_refused const& sent)
     {
         return { schema::Payload::OfferRefused,
             schema::CreateOfferRefused(builder, static_cast<std::uint8_t>(sent.why), sent.revision.value()).Union() };
     }
 
-    built operator()(endpoint_state const& sent)
+    built_payload operator()(endpoint_state const& sent)
     {
         return { schema::Payload::EndpointState,
             schema::CreateEndpointState(builder, sent.slots, sent.free_slots, sent.is_draining, sent.revision.value())
                 .Union() };
     }
 
-    built operator()(grant const& sent)
+    built_payload operator()(grant const& sent)
     {
         return { schema::Payload::Grant,
             schema::CreateGrant(builder, sent.number.value(), sent.account.value()).Union() };
     }
 
-    built operator()(no_work const& sent)
+    built_payload operator()(no_work const& sent)
     {
         return { schema::Payload::NoWork, schema::CreateNoWork(builder, sent.number.value()).Union() };
     }
 
-    built operator()(run const& sent)
+    built_payload operator()(run const& sent)
     {
         std::vector<Offset<schema::Header>> headers;
         for (auto const& [name, value] : sent.headers) {
@@ -121,7 +121,7 @@
                 .Union() };
     }
 
-    built operator()(refused const& sent)
+    built_payload operator()(refused const& sent)
     {
         return { schema::Payload::Refused,
             schema::CreateRefused(builder, sent.request.value(), sent.attempt.value(),
@@ -129,13 +129,13 @@
                 .Union() };
     }
 
-    built operator()(cancel const& sent)
+    built_payload operator()(cancel const& sent)
     {
         return { schema::Payload::Cancel,
             schema::CreateCancel(builder, sent.request.value(), sent.attempt.value()).Union() };
     }
 
-    built operator()(chunk const& sent)
+    built_payload operator()(chunk const& sent)
     {
         auto const type
             = sent.content_type.empty() ? Offset<flatbuffers::String>() : builder.CreateString(sent.content_type);
@@ -146,7 +146,7 @@
                 .Union() };
     }
 
-    built operator()(finished const& sent)
+    built_payload operator()(finished const& sent)
     {
         return { schema::Payload::Finished,
             schema::CreateFinished(builder, sent.request.value(), sent.attempt.value(), sent.sequence.value(),
@@ -155,7 +155,7 @@
                 .Union() };
     }
 
-    built operator()(service_report const& sent)
+    built_payload operator()(service_report const& sent)
     {
         auto const values = pack_values(sent.values);
         auto const rebuild = pack_values(sent.rebuild);
@@ -165,7 +165,7 @@
                 .Union() };
     }
 
-    built operator()(service_reading const& sent)
+    built_payload operator()(service_reading const& sent)
     {
         return { schema::Payload::ServiceReading,
             schema::CreateServiceReading(builder, sent.epoch.value(), pack_values(sent.others)).Union() };
@@ -196,7 +196,7 @@
         return builder.CreateVectorOfStructs(packed);
     }
 
-    // An empty list is left out of the frame.
+    // Returns a null offset for an empty list, so that the frame omits the field.
     Offset<flatbuffers::Vector<schema::AccountValue const*>> pack_values(std::vector<account_value> const& values)
     {
         if (values.empty())
@@ -208,13 +208,13 @@
         return builder.CreateVectorOfStructs(packed);
     }
 
-    built operator()(snapshot_request const& sent)
+    built_payload operator()(snapshot_request const& sent)
     {
         return { schema::Payload::SnapshotRequest,
             schema::CreateSnapshotRequest(builder, sent.newer_than.value()).Union() };
     }
 
-    built operator()(snapshot_reply const& sent)
+    built_payload operator()(snapshot_reply const& sent)
     {
         return { schema::Payload::SnapshotReply, pack_snapshot(sent).Union() };
     }
@@ -380,8 +380,8 @@
     std::size_t size = 0;
     for (std::size_t byte = 0; byte < length_prefix_size; ++byte)
         size |= static_cast<std::size_t>(static_cast<unsigned char>(prefix[byte])) << (8 * byte);
-    if (size == 0 || size > most_frame_size)
-        return fail("decode frame", "", "a length of " + std::to_string(size) + " bytes is out of range");
+    if (size == 0 || size > max_frame_size)
+        return fail("decode frame", "", "a frame length of " + std::to_string(size) + " bytes is out of range");
     return size;
 }
 
@@ -389,11 +389,11 @@
 {
     flatbuffers::Verifier verifier(reinterpret_cast<std::uint8_t const*>(buffer.data()), buffer.size());
     if (!schema::VerifyFrameBuffer(verifier))
-        return fail("decode frame", "", "not a valid frame");
+        return fail("decode frame", "", "the buffer is not a valid FlatBuffers frame");
     auto const* frame = schema::GetFrame(buffer.data());
-    // NOTE: The verifier lets a payload pass that has a type but no table.
+    // NOTE: The verifier accepts a payload that has a type but no table.
     if (frame->payload() == nullptr)
-        return fail("decode frame", "", "a frame without payload");
+        return fail("decode frame", "", "the frame has no payload");
     switch (frame->payload_type()) {
     case schema::Payload::Hello:
         return unpack(*frame->payload_as_Hello());
@@ -430,7 +430,7 @@
     case schema::Payload::NONE:
         break;
     }
-    return fail("decode frame", "", "an unknown kind of message");
+    return fail("decode frame", "", "the frame has an unknown payload type");
 }
 
 std::string_view name_of(message const& any)
--- a/libraries/wire/messages.h
+++ b/libraries/wire/messages.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The messages between the fleet's processes as typed values. codec.h turns them into frames.
+// The messages between the processes of the fleet as typed values. codec.h encodes them as frames.
 #pragma once
 
 #include "base/identifiers.h"
@@ -16,21 +16,21 @@
 
 enum class vm_state : std::uint8_t { live, leaving };
 
-// One line of the platform's list of VMs. The list lags behind.
+// One entry of the platform's VM list. The list lags behind the actual state of the VMs.
 struct vm_record {
     vm_name name;
     process_role role { process_role::endpoint };
     vm_state state { vm_state::live };
-    // "address:port" of the fleet's process there.
+    // "address:port" of the fleet process on this VM.
     std::string address;
     failure_domain domain;
-    // On endpoint VMs: the endpoint beside the process.
+    // On endpoint VMs: the endpoint that the process on this VM serves.
     endpoint_name endpoint;
 
     bool operator==(vm_record const&) const = default;
 };
 
-// First message in both directions. The nonce goes into the other side's proof.
+// The first message in both directions. The receiver includes the nonce in its proof.
 struct hello {
     vm_name vm;
     process_role role { process_role::router };
@@ -40,24 +40,24 @@
     bool operator==(hello const&) const = default;
 };
 
-// Second message in both directions: a MAC over both hellos under the fleet's key.
+// The second message in both directions: a MAC over fields of both hello messages, keyed with the fleet's key.
 struct proof {
     std::string mac;
     bool operator==(proof const&) const = default;
 };
 
-// A router's standing demand for one account at one endpoint.
+// A router's current demand for one account at one endpoint.
 struct offer_entry {
     account_id account {};
-    // Service received by the team in this pool, fleet-wide as far as the router knows, for each unit of weight.
+    // The service that the team has received in this pool, fleet-wide as far as the router knows, per unit of weight.
     std::int64_t level { 0 };
     service_units expected_cost {};
-    // How many requests wait. Zero withdraws the offer.
+    // The number of waiting requests. Zero withdraws the offer.
     std::uint32_t waiting { 0 };
-    // How old the fleet-wide part of the level is.
+    // The age of the fleet-wide part of the level.
     milliseconds level_age { 0 };
     std::uint32_t weight { 1 };
-    // Lower tiers are served first: guests of an own-first endpoint are in tier 1.
+    // Lower tiers are served first. At an endpoint with own-first priority, other partners' teams are in tier 1.
     std::uint8_t tier { 0 };
     bool operator==(offer_entry const&) const = default;
 };
@@ -82,13 +82,14 @@
     bool operator==(endpoint_state const&) const = default;
 };
 
-// The endpoint holds a slot for one request of this account until the router runs one or says that it has none.
+// The endpoint reserves a slot for one request of this account until the router answers with run or no_work.
 struct grant {
     grant_number number {};
     account_id account {};
     bool operator==(grant const&) const = default;
 };
 
+// The router has no request for a grant; the endpoint releases the reserved slot.
 struct no_work {
     grant_number number {};
     bool operator==(no_work const&) const = default;
@@ -100,6 +101,7 @@
     bool operator==(header const&) const = default;
 };
 
+// Runs one attempt of a request in a granted slot.
 struct run {
     grant_number grant {};
     request_number request {};
@@ -109,20 +111,21 @@
     std::vector<header> headers;
     std::string body;
     bool is_repeatable { true };
-    // A call of a model engine, whose service is counted in tokens; otherwise a plain service's, counted in time.
+    // Whether the endpoint is a model engine, whose service is measured in tokens. The service of a plain service is
+    // measured in time.
     bool is_model_call { true };
     milliseconds time_left { 0 };
     shedhill::revision revision {};
-    // Which account the request belongs to, and what it is expected to cost.
+    // The account that is charged for the request, and the request's expected cost.
     account_id account {};
     service_units expected_cost {};
-    // The account's standing demand after this request, and that of others whose levels have moved, so that no separate
-    // offers are needed.
+    // The demand of this account after the request, and of other accounts whose levels have changed, so that no
+    // separate offer messages are needed.
     std::vector<offer_entry> refresh;
     bool operator==(run const&) const = default;
 };
 
-// The attempt was not run and will not be: the endpoint's process vouches for it.
+// The endpoint's process guarantees that the attempt has not run and will not run.
 struct refused {
     request_number request {};
     attempt_number attempt {};
@@ -141,11 +144,11 @@
     request_number request {};
     attempt_number attempt {};
     chunk_sequence sequence {};
-    // Both are set on the first chunk only.
+    // The status and the content type are set on the first chunk only.
     std::uint16_t status { 0 };
     std::string content_type;
     std::string data;
-    // The service of this attempt so far.
+    // The total service of this attempt up to and including this chunk.
     service_units service {};
     bool operator==(chunk const&) const = default;
 };
@@ -153,54 +156,57 @@
 struct finished {
     request_number request {};
     attempt_number attempt {};
-    // How many chunks came before.
+    // The number of chunks sent before this message.
     chunk_sequence sequence {};
     run_outcome outcome { run_outcome::unknown };
     reason why { reason::none };
     service_units service {};
-    // Slots for which the endpoint knows no demand.
+    // The number of slots for which the endpoint has no demand.
     std::uint32_t free_slots { 0 };
     bool operator==(finished const&) const = default;
 };
 
-// An amount of service of one account; the field that holds it says which amount.
+// An amount of service of one account. Its meaning depends on the field that holds it.
 struct account_value {
     account_id account {};
     service_units value {};
     bool operator==(account_value const&) const = default;
 };
 
-// A router's report to the home of some accounts. All amounts are cumulative since the reporter's epoch began, so that
-// a report that is late, doubled or overtaken changes nothing.
+// A router's report to the aggregator of some accounts. All amounts are cumulative since the start of the reporter's
+// epoch, so that late, duplicate or reordered reports have no effect.
 struct service_report {
     process_epoch epoch {};
     std::uint64_t sequence { 0 };
-    // What the reporter has charged to each account.
+    // The service that the reporter has charged to each account.
     std::vector<account_value> values;
-    // For a home that is new to the reporter: the largest sum it has been told, from which the home rebuilds.
+    // For an aggregator that is new to the reporter: the largest sum that the reporter has received for each account,
+    // from which the aggregator restores its state.
     std::vector<account_value> rebuild;
-    // Accounts that return from idle, with the least amount that they may count as having received.
+    // Accounts that become active after being idle, each with a lower bound for the service that it counts as received.
     std::vector<account_value> activations;
     bool operator==(service_report const&) const = default;
 };
 
-// What the home answers: for each account what all but the asker have been charged.
+// The aggregator's answer: for each account the service charged by all routers except the one that asked.
 struct service_reading {
-    // The epoch of the reporter that asked: what others had means nothing to a later epoch.
+    // The epoch of the reporter that asked. The amounts are not valid for a later epoch of that reporter.
     process_epoch epoch {};
     std::vector<account_value> others;
     bool operator==(service_reading const&) const = default;
 };
 
-// Asks another router for its configuration, when the platform cannot be read.
+// Requests another router's configuration when the platform is unavailable.
 struct snapshot_request {
     revision newer_than {};
     bool operator==(snapshot_request const&) const = default;
 };
 
+// The answer to a snapshot_request. A router whose configuration is not newer than requested sends no answer.
 struct snapshot_reply {
+    // The sender's configuration snapshot as JSON.
     std::string snapshot;
-    // The VMs that the sender knows of, as old as its own reading of the platform's list.
+    // The VM list as the sender last read it from the platform.
     std::vector<vm_record> vms;
     bool operator==(snapshot_reply const&) const = default;
 };
--- a/libraries/wire/reasons.h
+++ b/libraries/wire/reasons.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Outcomes of an attempt and the reasons for refusals and retries. Each reason has a counter of its own.
+// Outcomes of attempts and the reasons for refusals and retries. Each reason has its own counter in the metrics.
 #pragma once
 
 #include <cstdint>
@@ -7,20 +7,21 @@
 
 namespace shedhill::wire {
 
-// What is known of an attempt. "unknown" is never told to a caller as "not run".
+// What is known about an attempt. An unknown outcome is never reported to a caller as not run.
 enum class run_outcome : std::uint8_t {
-    // Proved by the endpoint's process, or the body was never sent.
+    // The endpoint's process confirmed that the attempt did not run, or the request's body was never sent.
     not_run,
-    // The whole answer was received.
+    // The complete answer was received.
     ran,
-    // The body was sent, and what became of it cannot be told.
+    // The body was sent, and whether the attempt ran cannot be determined.
     unknown,
 };
 
-// Why a request or an attempt was refused, retried or ended. The order is part of the wire protocol: add at the end.
+// The reason why a request or an attempt was refused, retried or ended. The numeric values are part of the wire
+// protocol: new reasons are added before count only.
 enum class reason : std::uint8_t {
     none,
-    // Refusals at the router, before anything was sent.
+    // Refusals by the router, before anything was sent to an endpoint.
     unknown_key,
     bad_request,
     body_too_large,
@@ -33,13 +34,13 @@
     deadline_in_queue,
     claim_taken,
     claim_unavailable,
-    // Refusals by the endpoint's process: the attempt was not run.
+    // Refusals by the endpoint's process; the attempt did not run.
     stale_revision,
     endpoint_draining,
     unknown_grant,
     engine_unreachable,
     engine_busy,
-    // Ends after the body was sent.
+    // Reasons for the end of an attempt after its body was sent.
     endpoint_lost,
     engine_cut,
     chunk_gap,
--- a/services/shedhilld/endpoint_daemon.cpp
+++ b/services/shedhilld/endpoint_daemon.cpp
@@ -14,16 +14,16 @@
 
 constexpr milliseconds tick_interval { 100 };
 
-endpoint::engine_end to_engine_end(net::http_call_end ended)
+endpoint::engine_end to_engine_end(net::http_call_outcome ended)
 {
     switch (ended) {
-    case net::http_call_end::whole:
+    case net::http_call_outcome::complete:
         return endpoint::engine_end::whole;
-    case net::http_call_end::not_sent:
+    case net::http_call_outcome::not_sent:
         return endpoint::engine_end::not_sent;
-    case net::http_call_end::cancelled:
+    case net::http_call_outcome::cancelled:
         return endpoint::engine_end::cancelled;
-    case net::http_call_end::cut:
+    case net::http_call_outcome::interrupted:
         break;
     }
     return endpoint::engine_end::cut;
@@ -72,7 +72,7 @@
 
 void endpoint_daemon::run(endpoint::start_call& effect)
 {
-    auto call = net::http_call::make();
+    auto call = net::http_call::create();
     m_calls[effect.call] = call;
     net::start_fiber(
         [this, number = effect.call, request = std::move(effect.request), call] { make_call(number, request, *call); });
@@ -105,7 +105,7 @@
 
 void endpoint_daemon::serve_connection(std::shared_ptr<net::frame_connection> const& connection)
 {
-    auto const peer = connection->shake_hands(m_settings.identity, net::handshake_side::accepting, m_revision);
+    auto const peer = connection->perform_handshake(m_settings.identity, net::handshake_side::accepting, m_revision);
     if (!peer || peer->role != wire::process_role::router) {
         m_host.metrics().add("shedhill_strangers_refused_total");
         connection->abort();
@@ -150,7 +150,8 @@
     constexpr int max_pauses = 100;
     m_frames->close();
     auto const is_drained = [this] {
-        return std::ranges::all_of(m_connections, [](auto const& entry) { return entry.second->is_drained(); });
+        return std::ranges::all_of(
+            m_connections, [](auto const& entry) { return entry.second->is_send_queue_empty(); });
     };
     for (int waited = 0; !is_drained() && waited < max_pauses; ++waited)
         boost::this_fiber::sleep_for(pause);
--- a/services/shedhilld/endpoint_daemon.h
+++ b/services/shedhilld/endpoint_daemon.h
@@ -13,7 +13,7 @@
 
 struct endpoint_settings {
     endpoint::options options;
-    net::fleet_identity identity;
+    net::process_identity identity;
     std::string frame_address;
     std::string admin_address;
     std::string engine_address;
--- a/services/shedhilld/main.cpp
+++ b/services/shedhilld/main.cpp
@@ -125,7 +125,7 @@
     return {};
 }
 
-net::fleet_identity make_identity(settings::setting_values const& values, wire::process_role role)
+net::process_identity make_identity(settings::setting_values const& values, wire::process_role role)
 {
     return { vm_name(values.text("vm")), role, make_epoch(), values.text("fleet-key") };
 }
@@ -213,7 +213,7 @@
         return EXIT_SUCCESS;
     }
     logging::open_log(values->text("vm"));
-    net::process_io();
+    net::process_io_context();
     daemon::process host;
     if (values->text("role") == "router") {
         daemon::router_daemon router(host, make_router_settings(*values));
--- a/services/shedhilld/process.cpp
+++ b/services/shedhilld/process.cpp
@@ -12,8 +12,8 @@
 process::process()
     : m_started_at(boot_clock::now())
     , m_random(std::random_device {}())
-    , m_signals(net::process_io())
-    , m_tick_timer(net::process_io())
+    , m_signals(net::process_io_context())
+    , m_tick_timer(net::process_io_context())
 {
 }
 
--- a/services/shedhilld/router_daemon.cpp
+++ b/services/shedhilld/router_daemon.cpp
@@ -55,7 +55,7 @@
         m_settings.http_address, m_settings.limits, [this](net::http_exchange& exchange) { serve_caller(exchange); }));
     m_frames = TRY(net::frame_listener::open(
         m_settings.frame_address, [this](std::shared_ptr<net::frame_connection> const& connection) {
-            auto const peer = connection->shake_hands(
+            auto const peer = connection->perform_handshake(
                 m_settings.identity, net::handshake_side::accepting, m_reducer.catalog().current_revision());
             if (!peer) {
                 m_host.metrics().add("shedhill_strangers_refused_total");
@@ -232,7 +232,7 @@
     auto pending_caller = std::make_shared<caller>();
     pending_caller->arrived_at = m_host.now();
     m_callers[number] = pending_caller;
-    exchange.watch_caller([this, number, pending_caller] {
+    exchange.set_disconnect_handler([this, number, pending_caller] {
         pending_caller->is_gone = true;
         pending_caller->changed.set();
         post(router::caller_gone { number });
@@ -309,14 +309,14 @@
 
 void router_daemon::connect(vm_name const& vm, std::string const& address)
 {
-    auto connection = net::connect_frames(address, connect_timeout);
+    auto connection = net::open_frame_connection(address, connect_timeout);
     if (!connection) {
         m_host.metrics().add("shedhill_connect_failures_total");
         post(router::connect_failed { vm });
         return;
     }
     auto const peer = (*connection)
-                          ->shake_hands(m_settings.identity, net::handshake_side::connecting,
+                          ->perform_handshake(m_settings.identity, net::handshake_side::connecting,
                               m_reducer.catalog().current_revision());
     if (!peer || peer->vm != vm) {
         m_host.metrics().add("shedhill_connect_failures_total");
--- a/services/shedhilld/router_daemon.h
+++ b/services/shedhilld/router_daemon.h
@@ -16,7 +16,7 @@
 
 struct router_settings {
     router::options options;
-    net::fleet_identity identity;
+    net::process_identity identity;
     std::string http_address;
     std::string frame_address;
     std::string admin_address;
--- a/services/shedhilld/router_gauges.cpp
+++ b/services/shedhilld/router_gauges.cpp
@@ -76,9 +76,9 @@
 
 void set_log_gauges(metrics::registry& registry, logging::event_log_counts const& counts)
 {
-    registry.set("shedhill_log_lines_taken", static_cast<double>(counts.taken));
-    registry.set("shedhill_log_lines_over_budget", static_cast<double>(counts.over_budget));
-    registry.set("shedhill_log_lines_unread", static_cast<double>(counts.pipe_full));
+    registry.set("shedhill_log_lines_taken", static_cast<double>(counts.accepted));
+    registry.set("shedhill_log_lines_over_budget", static_cast<double>(counts.rate_limited));
+    registry.set("shedhill_log_lines_unread", static_cast<double>(counts.dropped));
 }
 
 } // namespace shedhill::daemon
--- a/tests/config/catalog_test.cpp
+++ b/tests/config/catalog_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The configuration in force: it goes forward only, and sharing needs both partners.
+// Tests that the revision of a catalog only increases and that sharing an endpoint requires policies of both partners.
 #include "libraries/config/catalog.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,35 +17,35 @@
     CPPUNIT_TEST(a_changed_key_no_longer_finds_the_team);
     CPPUNIT_TEST_SUITE_END();
 
-    // As long as a real one.
+    // A string with the length of a SHA-256 hash in hexadecimal.
     static std::string hash_of(std::string const& name) { return std::string(64, name.front()); }
 
     static team make_team(std::string const& partner, std::string const& name)
     {
-        team made;
-        made.partner = partner_name(partner);
-        made.name = team_name(partner + "/" + name);
-        made.key_hashes = { hash_of(name) };
-        return made;
+        team created;
+        created.partner = partner_name(partner);
+        created.name = team_name(partner + "/" + name);
+        created.key_hashes = { hash_of(name) };
+        return created;
     }
 
     static endpoint make_endpoint(std::string const& partner)
     {
-        endpoint made;
-        made.partner = partner_name(partner);
-        made.name = endpoint_name(partner + "/e");
-        made.pool = pool_name("cook");
-        made.domain = failure_domain("barranco");
-        return made;
+        endpoint created;
+        created.partner = partner_name(partner);
+        created.name = endpoint_name(partner + "/e");
+        created.pool = pool_name("cook");
+        created.domain = failure_domain("barranco");
+        return created;
     }
 
     static policy make_policy(std::string const& partner, policy_action action)
     {
-        policy made;
-        made.partner = partner_name(partner);
-        made.name = partner + (action == policy_action::use ? "/use" : "/share");
-        made.action = action;
-        return made;
+        policy created;
+        created.partner = partner_name(partner);
+        created.name = partner + (action == policy_action::use ? "/use" : "/share");
+        created.action = action;
+        return created;
     }
 
     static change put(std::vector<object> objects)
@@ -55,84 +55,84 @@
 
     void changes_apply_in_order_and_once()
     {
-        catalog present;
-        CPPUNIT_ASSERT(!present.apply(revision(2), put({ make_team("r", "a") })));
-        CPPUNIT_ASSERT(present.apply(revision(1), put({ make_team("r", "a") })));
-        CPPUNIT_ASSERT(!present.apply(revision(1), { "id", partner_name("r"), {}, { "team:r/a" } }));
-        CPPUNIT_ASSERT(present.find_team(team_name("r/a")) != nullptr);
-        CPPUNIT_ASSERT(present.apply(revision(2), { "id", partner_name("r"), {}, { "team:r/a" } }));
-        CPPUNIT_ASSERT(present.find_team(team_name("r/a")) == nullptr);
-        CPPUNIT_ASSERT(present.find_team_by_key_hash(hash_of("a")) == nullptr);
+        catalog current;
+        CPPUNIT_ASSERT(!current.apply(revision(2), put({ make_team("r", "a") })));
+        CPPUNIT_ASSERT(current.apply(revision(1), put({ make_team("r", "a") })));
+        CPPUNIT_ASSERT(!current.apply(revision(1), { "id", partner_name("r"), {}, { "team:r/a" } }));
+        CPPUNIT_ASSERT(current.find_team(team_name("r/a")) != nullptr);
+        CPPUNIT_ASSERT(current.apply(revision(2), { "id", partner_name("r"), {}, { "team:r/a" } }));
+        CPPUNIT_ASSERT(current.find_team(team_name("r/a")) == nullptr);
+        CPPUNIT_ASSERT(current.find_team_by_key_hash(hash_of("a")) == nullptr);
     }
 
     void an_older_snapshot_changes_nothing()
     {
-        catalog present;
-        present.apply(revision(1), put({ make_team("r", "a") }));
-        auto const old = present.snapshot();
-        present.apply(revision(2), put({ make_team("r", "b") }));
-        CPPUNIT_ASSERT_EQUAL(false, present.load_snapshot(old).value());
-        CPPUNIT_ASSERT(present.find_team(team_name("r/b")) != nullptr);
-        CPPUNIT_ASSERT(present.current_revision() == revision(2));
+        catalog current;
+        current.apply(revision(1), put({ make_team("r", "a") }));
+        auto const old = current.snapshot();
+        current.apply(revision(2), put({ make_team("r", "b") }));
+        CPPUNIT_ASSERT_EQUAL(false, current.load_snapshot(old).value());
+        CPPUNIT_ASSERT(current.find_team(team_name("r/b")) != nullptr);
+        CPPUNIT_ASSERT(current.current_revision() == revision(2));
     }
 
     void a_snapshot_restores_everything()
     {
-        catalog present;
-        present.apply(
+        catalog current;
+        current.apply(
             revision(1), put({ make_team("r", "a"), make_endpoint("r"), make_policy("r", policy_action::use) }));
         catalog restored;
-        CPPUNIT_ASSERT(restored.load_snapshot(present.snapshot()).value());
-        CPPUNIT_ASSERT(restored.objects() == present.objects());
+        CPPUNIT_ASSERT(restored.load_snapshot(current.snapshot()).value());
+        CPPUNIT_ASSERT(restored.objects() == current.objects());
         CPPUNIT_ASSERT(restored.find_team_by_key_hash(hash_of("a")) != nullptr);
         CPPUNIT_ASSERT(!restored.load_snapshot("{}").has_value());
     }
 
     void sharing_needs_both_partners()
     {
-        catalog present;
+        catalog current;
         auto const team = make_team("r", "a");
         auto const endpoint = make_endpoint("b");
-        CPPUNIT_ASSERT(!present.explain(team, endpoint).is_allowed);
-        present.apply(revision(1), put({ make_policy("r", policy_action::use) }));
-        CPPUNIT_ASSERT_EQUAL(std::string("no share policy of b selects both"), present.explain(team, endpoint).reason);
-        present.apply(revision(2), put({ make_policy("b", policy_action::share) }));
-        CPPUNIT_ASSERT(present.explain(team, endpoint).is_allowed);
-        CPPUNIT_ASSERT(!present.explain(team, endpoint).is_own);
-        present.apply(revision(3), { "id", partner_name("r"), {}, { "policy:r/use" } });
-        CPPUNIT_ASSERT_EQUAL(std::string("no use policy of r selects both"), present.explain(team, endpoint).reason);
+        CPPUNIT_ASSERT(!current.explain(team, endpoint).is_allowed);
+        current.apply(revision(1), put({ make_policy("r", policy_action::use) }));
+        CPPUNIT_ASSERT_EQUAL(std::string("no share policy of b selects both"), current.explain(team, endpoint).reason);
+        current.apply(revision(2), put({ make_policy("b", policy_action::share) }));
+        CPPUNIT_ASSERT(current.explain(team, endpoint).is_allowed);
+        CPPUNIT_ASSERT(!current.explain(team, endpoint).is_own);
+        current.apply(revision(3), { "id", partner_name("r"), {}, { "policy:r/use" } });
+        CPPUNIT_ASSERT_EQUAL(std::string("no use policy of r selects both"), current.explain(team, endpoint).reason);
     }
 
     void a_drained_endpoint_is_not_allowed()
     {
-        catalog present;
-        present.apply(revision(1), put({ make_policy("r", policy_action::use) }));
+        catalog current;
+        current.apply(revision(1), put({ make_policy("r", policy_action::use) }));
         auto endpoint = make_endpoint("r");
-        CPPUNIT_ASSERT(present.explain(make_team("r", "a"), endpoint).is_allowed);
+        CPPUNIT_ASSERT(current.explain(make_team("r", "a"), endpoint).is_allowed);
         endpoint.labels[drain_label] = "true";
-        CPPUNIT_ASSERT(!present.explain(make_team("r", "a"), endpoint).is_allowed);
+        CPPUNIT_ASSERT(!current.explain(make_team("r", "a"), endpoint).is_allowed);
     }
 
     void a_change_of_the_other_partners_objects_is_refused()
     {
-        change made = put({ make_team("r", "a") });
-        CPPUNIT_ASSERT(check_ownership(made));
-        made.removals = { "team:b/x" };
-        CPPUNIT_ASSERT(!check_ownership(made));
-        made.removals.clear();
-        made.author = partner_name("b");
-        CPPUNIT_ASSERT(!check_ownership(made));
+        change created = put({ make_team("r", "a") });
+        CPPUNIT_ASSERT(check_ownership(created));
+        created.removals = { "team:b/x" };
+        CPPUNIT_ASSERT(!check_ownership(created));
+        created.removals.clear();
+        created.author = partner_name("b");
+        CPPUNIT_ASSERT(!check_ownership(created));
     }
 
     void a_changed_key_no_longer_finds_the_team()
     {
-        catalog present;
-        present.apply(revision(1), put({ make_team("r", "a") }));
+        catalog current;
+        current.apply(revision(1), put({ make_team("r", "a") }));
         auto changed = make_team("r", "a");
         changed.key_hashes = { "other" };
-        present.apply(revision(2), put({ changed }));
-        CPPUNIT_ASSERT(present.find_team_by_key_hash(hash_of("a")) == nullptr);
-        CPPUNIT_ASSERT(present.find_team_by_key_hash("other") != nullptr);
+        current.apply(revision(2), put({ changed }));
+        CPPUNIT_ASSERT(current.find_team_by_key_hash(hash_of("a")) == nullptr);
+        CPPUNIT_ASSERT(current.find_team_by_key_hash("other") != nullptr);
     }
 };
 
--- a/tests/config/objects_test.cpp
+++ b/tests/config/objects_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Declarations: what is accepted, and with which words the rest is refused.
+// Tests which declarations are accepted and the error messages for invalid ones.
 #include "libraries/config/objects.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,11 +8,11 @@
 
 class objects_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(objects_test);
-    CPPUNIT_TEST(printed_objects_parse_to_themselves);
+    CPPUNIT_TEST(serialized_objects_parse_to_equal_objects);
     CPPUNIT_TEST(a_misspelt_field_is_refused_by_name);
     CPPUNIT_TEST(values_out_of_range_are_refused);
     CPPUNIT_TEST(one_bad_declaration_refuses_the_file);
-    CPPUNIT_TEST(a_declaration_that_stands_twice_is_refused);
+    CPPUNIT_TEST(a_duplicate_declaration_is_refused);
     CPPUNIT_TEST(selectors_match_by_value_and_list);
     CPPUNIT_TEST_SUITE_END();
 
@@ -28,7 +28,7 @@
         return text.find(part) != std::string::npos;
     }
 
-    void printed_objects_parse_to_themselves()
+    void serialized_objects_parse_to_equal_objects()
     {
         auto const text = R"([
             {"kind": "team", "name": "editors", "partner": "recetario", "weight": 3, "labels": {"desk": "menus"}},
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT(contains(refusal("[{]"), "not valid JSON"));
     }
 
-    void a_declaration_that_stands_twice_is_refused()
+    void a_duplicate_declaration_is_refused()
     {
         auto const one = std::string(R"({"kind": "team", "name": "a", "partner": "p"})");
         CPPUNIT_ASSERT(contains(refusal("[" + one + "," + one + "]"), "team:p/a is declared twice"));
@@ -79,10 +79,10 @@
 
     void selectors_match_by_value_and_list()
     {
-        selector const picks { { { "desk", { "menus", "tags" } }, { "partner", { "recetario" } } } };
-        CPPUNIT_ASSERT(picks.matches({ { "desk", "tags" }, { "partner", "recetario" } }));
-        CPPUNIT_ASSERT(!picks.matches({ { "desk", "mail" }, { "partner", "recetario" } }));
-        CPPUNIT_ASSERT(!picks.matches({ { "partner", "recetario" } }));
+        selector const matcher { { { "desk", { "menus", "tags" } }, { "partner", { "recetario" } } } };
+        CPPUNIT_ASSERT(matcher.matches({ { "desk", "tags" }, { "partner", "recetario" } }));
+        CPPUNIT_ASSERT(!matcher.matches({ { "desk", "mail" }, { "partner", "recetario" } }));
+        CPPUNIT_ASSERT(!matcher.matches({ { "partner", "recetario" } }));
         CPPUNIT_ASSERT(selector {}.matches({}));
     }
 };
--- a/tests/diagnosis/fleet_summary_test.cpp
+++ b/tests/diagnosis/fleet_summary_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Many routers' metrics together.
+// Tests the aggregation of the metrics of many routers.
 #include "libraries/diagnosis/fleet_summary.h"
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 class fleet_summary_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(fleet_summary_test);
-    CPPUNIT_TEST(a_fleet_is_summed_up);
-    CPPUNIT_TEST(one_router_is_its_own_spread);
-    CPPUNIT_TEST(no_router_gives_nothing);
+    CPPUNIT_TEST(counts_and_percentiles_cover_all_routers);
+    CPPUNIT_TEST(a_single_router_has_equal_percentiles);
+    CPPUNIT_TEST(no_routers_give_no_measures);
     CPPUNIT_TEST_SUITE_END();
 
     static named_summary router(std::size_t number)
@@ -24,7 +24,7 @@
         return { "r" + std::to_string(number), summary };
     }
 
-    void a_fleet_is_summed_up()
+    void counts_and_percentiles_cover_all_routers()
     {
         std::vector<named_summary> routers;
         for (std::size_t number = 100; number > 0; --number)
@@ -35,23 +35,23 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, fleet.revisions.at(11));
         CPPUNIT_ASSERT_EQUAL(std::string("team_over_share"), fleet.refusals.at(0).reason);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 200 }, fleet.refusals.at(0).count);
-        auto const active = std::ranges::find(fleet.measures, "active", &measure_spread::measure);
+        auto const active = std::ranges::find(fleet.measures, "active", &measure_distribution::measure);
         CPPUNIT_ASSERT(active != fleet.measures.end());
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, active->least, 1e-9);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(50, active->middle, 1e-9);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(95, active->most_below, 1e-9);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(100, active->greatest, 1e-9);
-        CPPUNIT_ASSERT_EQUAL(std::string("r100"), active->greatest_at);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, active->min, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(50, active->median, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(95, active->percentile_95, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(100, active->max, 1e-9);
+        CPPUNIT_ASSERT_EQUAL(std::string("r100"), active->max_router);
     }
 
-    void one_router_is_its_own_spread()
+    void a_single_router_has_equal_percentiles()
     {
         auto const fleet = summarize_fleet({ router(3) });
         for (auto const& spread : fleet.measures)
-            CPPUNIT_ASSERT(spread.least == spread.greatest && spread.middle == spread.most_below);
+            CPPUNIT_ASSERT(spread.min == spread.max && spread.median == spread.percentile_95);
     }
 
-    void no_router_gives_nothing() { CPPUNIT_ASSERT(summarize_fleet({}).measures.empty()); }
+    void no_routers_give_no_measures() { CPPUNIT_ASSERT(summarize_fleet({}).measures.empty()); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(fleet_summary_test);
--- a/tests/diagnosis/metrics_summary_test.cpp
+++ b/tests/diagnosis/metrics_summary_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Reading of a router's metrics.
+// Tests that the summary is read from a router's metrics text.
 #include "libraries/diagnosis/metrics_summary.h"
 #include "libraries/metrics/registry.h"
 
@@ -9,11 +9,11 @@
 
 class metrics_summary_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(metrics_summary_test);
-    CPPUNIT_TEST(what_a_registry_serves_is_read);
-    CPPUNIT_TEST(what_is_not_understood_is_skipped);
+    CPPUNIT_TEST(the_text_of_a_registry_is_summarized);
+    CPPUNIT_TEST(invalid_lines_are_skipped);
     CPPUNIT_TEST_SUITE_END();
 
-    void what_a_registry_serves_is_read()
+    void the_text_of_a_registry_is_summarized()
     {
         metrics::registry served;
         served.set("shedhill_ready", 1);
@@ -30,11 +30,11 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 3 }, summary.refusals.at(1).count);
         CPPUNIT_ASSERT_EQUAL(std::string("cook"), summary.first_events.at(0).pool);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 10 }, summary.first_events.at(0).count);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, summary.first_events.at(0).half_within, 1e-9);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, summary.first_events.at(0).most_within, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, summary.first_events.at(0).median_seconds, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, summary.first_events.at(0).percentile_95_seconds, 1e-9);
     }
 
-    void what_is_not_understood_is_skipped()
+    void invalid_lines_are_skipped()
     {
         auto const summary
             = summarize_metrics("# HELP x\n\nshedhill_ready\nshedhill_ready one\n{\nshedhill_active_requests nan\n"
--- a/tests/diagnosis/request_story_test.cpp
+++ b/tests/diagnosis/request_trace_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A failed request's lines alone name the cause: three kinds, with the lines that the dispatcher itself writes.
-#include "libraries/diagnosis/request_story.h"
+// Tests that the log lines of a failed request are sufficient to name the cause. The lines come from the dispatcher
+// itself, run by the test driver.
+#include "libraries/diagnosis/request_trace.h"
 
 #include "base/hash.h"
 
@@ -11,38 +12,38 @@
 
 namespace shedhill::diagnosis {
 
-class request_story_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(request_story_test);
+class request_trace_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(request_trace_test);
     CPPUNIT_TEST(a_refusal_for_the_teams_share_is_explained);
     CPPUNIT_TEST(a_refusal_of_a_quarantined_request_is_explained);
     CPPUNIT_TEST(an_answer_broken_by_a_crash_is_explained);
     CPPUNIT_TEST(a_request_under_an_old_configuration_is_explained);
-    CPPUNIT_TEST(a_refusal_while_all_rest_is_explained);
-    CPPUNIT_TEST(lines_of_many_processes_are_put_in_order);
-    CPPUNIT_TEST(other_lines_are_left_out);
+    CPPUNIT_TEST(a_refusal_while_all_endpoints_back_off_is_explained);
+    CPPUNIT_TEST(lines_of_many_processes_are_sorted_by_time);
+    CPPUNIT_TEST(lines_of_other_requests_are_ignored);
     CPPUNIT_TEST_SUITE_END();
 
     using driver = dispatch::dispatch_driver;
 
-    // The driver's log as a process would write it.
-    static request_story story_of(driver const& fleet, std::string const& id)
+    // Reads the driver's log lines in the format in which a process writes them.
+    static request_trace trace_of(driver const& fleet, std::string const& id)
     {
-        request_story story(id);
+        request_trace trace(id);
         std::istringstream log(fleet.log());
         std::string line;
         std::int64_t time = 1000;
         while (std::getline(log, line)) {
             auto const space = line.find(' ');
-            story.read_line(R"({"unix_ms":)" + std::to_string(++time) + R"(,"vm":"router-a","level":"debug","event":")"
+            trace.read_line(R"({"unix_ms":)" + std::to_string(++time) + R"(,"vm":"router-a","level":"debug","event":")"
                 + line.substr(0, space) + "\"," + line.substr(space + 1) + "}");
         }
-        story.sort();
-        return story;
+        trace.sort();
+        return trace;
     }
 
-    static bool names(request_story const& story, std::string const& words)
+    static bool cause_contains(request_trace const& trace, std::string const& words)
     {
-        auto const cause = story.cause();
+        auto const cause = trace.cause();
         return cause && cause->summary.find(words) != std::string::npos;
     }
 
@@ -55,13 +56,13 @@
         fleet.wait(milliseconds(200));
         fleet.ask("/once/", "red-key", 41000);
         fleet.wait(milliseconds(200));
-        auto const story = story_of(fleet, "id-3");
-        CPPUNIT_ASSERT(names(story, "refused with 429 (no_place): team red had "));
-        CPPUNIT_ASSERT(names(story, "its share was 40000"));
-        CPPUNIT_ASSERT(names(story, "2 of 8 places were taken"));
+        auto const trace = trace_of(fleet, "id-3");
+        CPPUNIT_ASSERT(cause_contains(trace, "refused with 429 (no_place): team red had "));
+        CPPUNIT_ASSERT(cause_contains(trace, "its share was 40000"));
+        CPPUNIT_ASSERT(cause_contains(trace, "2 of 8 slots were in use"));
     }
 
-    void a_refusal_while_all_rest_is_explained()
+    void a_refusal_while_all_endpoints_back_off_is_explained()
     {
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain") });
@@ -72,10 +73,9 @@
         fleet.end(first, dispatch::attempt_end::not_run, 503);
         fleet.wait(milliseconds(500));
         fleet.ask("/look/x");
-        CPPUNIT_ASSERT(names(story_of(fleet, "id-2"),
-            "refused with 503 (endpoints_resting): all endpoints of pool plain had asked this router for rest, the "
-            "first "
-            "for 1500 ms more"));
+        CPPUNIT_ASSERT(cause_contains(trace_of(fleet, "id-2"),
+            "refused with 503 (endpoints_resting): all endpoints of pool plain had asked this router to back off, the "
+            "first for another 1500 ms"));
     }
 
     void a_refusal_of_a_quarantined_request_is_explained()
@@ -94,9 +94,9 @@
         arrived.key = "red-key";
         arrived.content = content_hash(77);
         fleet.take(std::move(arrived));
-        CPPUNIT_ASSERT(names(story_of(fleet, "id-1"),
-            "refused with 503 (crashes_endpoints): endpoints had crashed under its last 3 tries, one after another; "
-            "request_crashed_endpoint with content 77 names them"));
+        CPPUNIT_ASSERT(cause_contains(trace_of(fleet, "id-1"),
+            "refused with 503 (crashes_endpoints): endpoints crashed during its last 3 consecutive attempts; "
+            "the events request_crashed_endpoint with content 77 name them"));
     }
 
     void an_answer_broken_by_a_crash_is_explained()
@@ -106,9 +106,9 @@
         auto const request = fleet.ask("/once/");
         fleet.begin(request);
         fleet.take(dispatch::attempt_ended { request, attempt_number(1), dispatch::attempt_end::broken, 200, 5, true });
-        auto const story = story_of(fleet, "id-1");
-        CPPUNIT_ASSERT(names(story, "attempt 1 at endpoint e1 ended as broken"));
-        CPPUNIT_ASSERT(names(story, "5 events; broken off (answer_broken)"));
+        auto const trace = trace_of(fleet, "id-1");
+        CPPUNIT_ASSERT(cause_contains(trace, "attempt 1 at endpoint e1 ended as broken"));
+        CPPUNIT_ASSERT(cause_contains(trace, "5 events; broken off (answer_broken)"));
     }
 
     void a_request_under_an_old_configuration_is_explained()
@@ -116,32 +116,32 @@
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain") });
         fleet.ask("/added-later/");
-        CPPUNIT_ASSERT(names(story_of(fleet, "id-1"), "refused with 404 (no_route): by configuration 1"));
+        CPPUNIT_ASSERT(cause_contains(trace_of(fleet, "id-1"), "refused with 404 (no_route): by configuration 1"));
     }
 
-    void lines_of_many_processes_are_put_in_order()
+    void lines_of_many_processes_are_sorted_by_time()
     {
-        request_story story("x");
+        request_trace trace("x");
         std::istringstream log(
             "  3.1 b {\"unix_ms\":30,\"vm\":\"b\",\"event\":\"answered\",\"id\":\"x\",\"status\":200}\n"
             "{\"unix_ms\":10,\"vm\":\"a\",\"event\":\"sent\",\"id\":\"x\",\"level\":7}\n");
-        story.read(log);
-        story.sort();
-        CPPUNIT_ASSERT_EQUAL(std::string("sent"), story.lines()[0].event);
-        CPPUNIT_ASSERT(story.to_text().find("+20 ms  b  answered  status=200") != std::string::npos);
-        CPPUNIT_ASSERT(story.to_text().find("level=7") != std::string::npos);
+        trace.read(log);
+        trace.sort();
+        CPPUNIT_ASSERT_EQUAL(std::string("sent"), trace.lines()[0].event);
+        CPPUNIT_ASSERT(trace.to_text().find("+20 ms  b  answered  status=200") != std::string::npos);
+        CPPUNIT_ASSERT(trace.to_text().find("level=7") != std::string::npos);
     }
 
-    void other_lines_are_left_out()
+    void lines_of_other_requests_are_ignored()
     {
-        request_story story("x");
+        request_trace trace("x");
         std::istringstream log("{\"id\":\"xy\"}\nnoise x {\n{\"unix_ms\":1,\"id\":\"y\",\"note\":\"x\"}\n");
-        story.read(log);
-        CPPUNIT_ASSERT(story.lines().empty());
-        CPPUNIT_ASSERT(!story.cause());
+        trace.read(log);
+        CPPUNIT_ASSERT(trace.lines().empty());
+        CPPUNIT_ASSERT(!trace.cause());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(request_story_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(request_trace_test);
 
 } // namespace shedhill::diagnosis
--- a/tests/edge/request_parser_test.cpp
+++ b/tests/edge/request_parser_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What callers may send, and the words with which the rest is refused.
+// Tests which requests of callers are accepted and the error messages for invalid requests and settings.
 #include "libraries/edge/request_parser.h"
 
 #include "libraries/net/keys.h"
--- a/tests/harness/caller.cpp
+++ b/tests/harness/caller.cpp
@@ -38,7 +38,7 @@
 chat_answer ask(std::string const& router, std::string const& key, std::string const& model, std::string const& text,
     std::size_t tokens)
 {
-    return ask_with(*net::http_call::make(), router, key, model, text, tokens);
+    return ask_with(*net::http_call::create(), router, key, model, text, tokens);
 }
 
 result<net::http_response> call_chat_unstreamed(std::string const& router, std::string const& key,
@@ -72,7 +72,7 @@
             }
         });
     answer.total = elapsed();
-    answer.is_whole = ended == net::http_call_end::whole && has_done;
+    answer.is_whole = ended == net::http_call_outcome::complete && has_done;
     return answer;
 }
 
--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -10,7 +10,7 @@
 int main()
 {
     using namespace shedhill;
-    net::process_io();
+    net::process_io_context();
     harness::fleet_shape shape = harness::small_shape();
     shape.partners.push_back({ "batinah", { "sohar-hall", "barka-hall", "suwaiq-hall" }, "parts", 2, "counter", 1, 4 });
     shape.routers = 2;
--- a/tests/harness/fault_proxy.cpp
+++ b/tests/harness/fault_proxy.cpp
@@ -51,7 +51,7 @@
     connection(std::shared_ptr<shared_state> shared, tcp::socket from)
         : state(std::move(shared))
         , opener(std::move(from))
-        , target(net::process_io())
+        , target(net::process_io_context())
     {
     }
 
--- a/tests/joined/joined_fleet.h
+++ b/tests/joined/joined_fleet.h
@@ -190,11 +190,11 @@
     [[nodiscard]] vm_name endpoint_vm(std::size_t index) const;
     void finish(std::size_t router, request_number request, std::function<void(caller_view&)> const& finish);
     void note(std::string const& line);
-    [[nodiscard]] bool is_due(std::uint32_t thousandths) { return m_random.below(1000) < thousandths; }
+    [[nodiscard]] bool is_due(std::uint32_t thousandths) { return m_random.next_below(1000) < thousandths; }
 
     fleet_options m_settings;
     instant m_now { milliseconds(1000) };
-    random_draw m_random;
+    random_generator m_random;
     std::priority_queue<scheduled> m_queue;
     std::uint64_t m_order { 0 };
     std::vector<router_node> m_routers;
--- a/tests/joined/load.cpp
+++ b/tests/joined/load.cpp
@@ -226,13 +226,13 @@
     plan.fleet.endpoints = endpoints;
     plan.fleet.seed = seed;
     plan.fleet.router.subset_size = 12;
-    random_draw draw(seed);
+    random_generator draw(seed);
     for (std::size_t index = 0; index < teams; ++index) {
         team_load team;
         team.name = "team-" + std::to_string(index);
-        auto const spread = 1 + draw.below(std::max<std::size_t>(routers / 3, 1));
+        auto const spread = 1 + draw.next_below(std::max<std::size_t>(routers / 3, 1));
         for (std::size_t count = 0; count < spread; ++count)
-            team.routers.push_back(draw.below(routers));
+            team.routers.push_back(draw.next_below(routers));
         team.open_requests = 24;
         team.tokens = index % 4 == 0 ? long_answer : short_answer;
         plan.teams.push_back(team);
--- a/tests/metrics/registry_test.cpp
+++ b/tests/metrics/registry_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The text form of counters and histograms.
+// Tests the text format of latency histograms.
 #include "libraries/metrics/registry.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,19 +9,19 @@
 class registry_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(registry_test);
     CPPUNIT_TEST(buckets_are_cumulative_and_in_seconds);
-    CPPUNIT_TEST(labels_stand_beside_the_bound);
+    CPPUNIT_TEST(buckets_keep_the_labels_of_the_metric);
     CPPUNIT_TEST_SUITE_END();
 
-    static bool has_line(registry const& from, std::string const& line)
+    static bool has_line(registry const& source, std::string const& line)
     {
-        return ("\n" + from.to_text()).find("\n" + line + "\n") != std::string::npos;
+        return ("\n" + source.to_text()).find("\n" + line + "\n") != std::string::npos;
     }
 
     void buckets_are_cumulative_and_in_seconds()
     {
         registry metrics;
-        for (auto const took : { 5.0, 45.0, 45.0, 700.0, 99000.0 })
-            metrics.observe_latency("shedhill_answer_seconds", took);
+        for (auto const milliseconds : { 5.0, 45.0, 45.0, 700.0, 99000.0 })
+            metrics.observe_latency("shedhill_answer_seconds", milliseconds);
         CPPUNIT_ASSERT(has_line(metrics, "shedhill_answer_seconds_bucket{le=\"0.01\"} 1"));
         CPPUNIT_ASSERT(has_line(metrics, "shedhill_answer_seconds_bucket{le=\"0.05\"} 3"));
         CPPUNIT_ASSERT(has_line(metrics, "shedhill_answer_seconds_bucket{le=\"20\"} 4"));
@@ -30,7 +30,7 @@
         CPPUNIT_ASSERT(has_line(metrics, "shedhill_answer_seconds_sum 99.795"));
     }
 
-    void labels_stand_beside_the_bound()
+    void buckets_keep_the_labels_of_the_metric()
     {
         registry metrics;
         metrics.observe_latency("shedhill_wait_seconds{pool=\"cook\"}", 30);
--- a/tests/processes/fleet_test.cpp
+++ b/tests/processes/fleet_test.cpp
@@ -306,7 +306,7 @@
         auto shape = small_shape();
         shape.token_interval_ms = 50;
         auto running = start(shape);
-        auto const call = net::http_call::make();
+        auto const call = net::http_call::create();
         fiber_group callers;
         callers.start([&] { ask_with(*call, running.http(0), key(0), "cook", "long", 1000); });
         CPPUNIT_ASSERT(wait_until([&] { return running_at_engines(running) == 1; }));
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -2,7 +2,7 @@
 // Drawing of series.
 #include "tests/soak/fault_plan.h"
 
-#include "base/random_draw.h"
+#include "base/random_generator.h"
 
 #include <algorithm>
 
@@ -21,16 +21,16 @@
 constexpr std::uint64_t seed_of_notices = 1U << 31U;
 constexpr std::uint64_t seed_of_harmful_requests = 3U << 30U;
 
-milliseconds draw_time(random_draw& draw, std::int64_t least, std::size_t spread)
+milliseconds draw_time(random_generator& draw, std::int64_t least, std::size_t spread)
 {
-    return milliseconds(least + static_cast<std::int64_t>(draw.below(spread)));
+    return milliseconds(least + static_cast<std::int64_t>(draw.next_below(spread)));
 }
 
-void draw_series(fault_kind kind, milliseconds run_for, random_draw& draw, std::vector<planned_fault>& plan)
+void draw_series(fault_kind kind, milliseconds run_for, random_generator& draw, std::vector<planned_fault>& plan)
 {
     auto const last_start = static_cast<std::size_t>(std::max<std::int64_t>(run_for.count() * 2 / 3, 1));
     auto at = draw_time(draw, 0, last_start);
-    auto const repeats = 1 + draw.below(most_in_series);
+    auto const repeats = 1 + draw.next_below(most_in_series);
     for (std::size_t repeat = 0; repeat < repeats && at < run_for; ++repeat) {
         plan.push_back({ at, kind, draw.next(), draw_time(draw, least_duration_ms, duration_spread_ms) });
         at += draw_time(draw, least_gap_ms, gap_spread_ms);
@@ -100,26 +100,26 @@
 
 std::vector<planned_fault> draw_plan(plan_options const& options)
 {
-    random_draw draw(options.seed);
+    random_generator draw(options.seed);
     bool const is_planned_only = options.scope == plan_scope::planned_only;
     auto const kinds
         = static_cast<std::size_t>(is_planned_only ? fault_kind::configuration_change : fault_kind::entries_lapse) + 1;
     std::vector<planned_fault> plan;
-    auto const series = least_series + draw.below(most_more_series + 1);
+    auto const series = least_series + draw.next_below(most_more_series + 1);
     for (std::size_t index = 0; index < series; ++index)
-        draw_series(static_cast<fault_kind>(draw.below(kinds)), options.run_for, draw, plan);
-    random_draw beside(options.seed + seed_of_kinds_beside);
-    if (beside.below(2) == 0)
+        draw_series(static_cast<fault_kind>(draw.next_below(kinds)), options.run_for, draw, plan);
+    random_generator beside(options.seed + seed_of_kinds_beside);
+    if (beside.next_below(2) == 0)
         draw_series(fault_kind::evacuation, options.run_for, beside, plan);
-    if (!is_planned_only && beside.below(2) == 0)
+    if (!is_planned_only && beside.next_below(2) == 0)
         draw_series(fault_kind::connections_silent, options.run_for, beside, plan);
-    random_draw notices(options.seed + seed_of_notices);
+    random_generator notices(options.seed + seed_of_notices);
     for (auto const kind : { fault_kind::replica_rests, fault_kind::replica_leaves }) {
-        if (notices.below(2) == 0)
+        if (notices.next_below(2) == 0)
             draw_series(kind, options.run_for, notices, plan);
     }
-    random_draw harmful(options.seed + seed_of_harmful_requests);
-    if (!is_planned_only && harmful.below(2) == 0)
+    random_generator harmful(options.seed + seed_of_harmful_requests);
+    if (!is_planned_only && harmful.next_below(2) == 0)
         draw_series(fault_kind::harmful_request, options.run_for, harmful, plan);
     std::ranges::stable_sort(plan, {}, &planned_fault::at);
     return plan;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -68,7 +68,7 @@
         std::cerr << values.error().to_string() << '\n';
         return 2;
     }
-    net::process_io();
+    net::process_io_context();
     int failed = 0;
     auto const seeds = values->number("seeds");
     for (std::int64_t index = 0; index < seeds; ++index)
--- a/tests/soak/soak_caller.cpp
+++ b/tests/soak/soak_caller.cpp
@@ -65,19 +65,19 @@
             continue;
         }
         ask_once();
-        boost::this_fiber::sleep_for(std::chrono::milliseconds(m_draw.below(pause_spread_ms)));
+        boost::this_fiber::sleep_for(std::chrono::milliseconds(m_draw.next_below(pause_spread_ms)));
     }
 }
 
 bool soak_caller::connect()
 {
-    m_router = m_draw.below(m_fleet.options().routers);
+    m_router = m_draw.next_below(m_fleet.options().routers);
     if (!m_fleet.router(m_router).is_running())
         return false;
     auto const address = net::parse_address(m_fleet.router(m_router).address("callers"));
     if (!address)
         return false;
-    auto made = std::make_unique<beast::tcp_stream>(net::process_io());
+    auto made = std::make_unique<beast::tcp_stream>(net::process_io_context());
     made->expires_after(connect_limit);
     if (await_io([&](auto handler) { made->async_connect(*address, std::move(handler)); }).failure)
         return false;
@@ -89,7 +89,7 @@
 {
     caller_request asked;
     asked.id = m_name + "-" + std::to_string(++m_asked);
-    asked.form = static_cast<request_form>(m_draw.below(forms));
+    asked.form = static_cast<request_form>(m_draw.next_below(forms));
     asked.router = m_router;
     asked.asked_at = soak_clock::now();
     exchange(asked);
@@ -99,8 +99,9 @@
 
 void soak_caller::exchange(caller_request& asked)
 {
-    bool const is_leaving = m_draw.below(one_leaves_in) == 0;
-    m_stream->expires_after(is_leaving ? std::chrono::milliseconds(1 + m_draw.below(leaving_spread_ms)) : answer_limit);
+    bool const is_leaving = m_draw.next_below(one_leaves_in) == 0;
+    m_stream->expires_after(
+        is_leaving ? std::chrono::milliseconds(1 + m_draw.next_below(leaving_spread_ms)) : answer_limit);
     auto const message = make_message(asked);
     auto const end_at = [&](boost::system::error_code failure, caller_end end) {
         if (failure == beast::error::timeout)
--- a/tests/soak/soak_caller.h
+++ b/tests/soak/soak_caller.h
@@ -3,7 +3,7 @@
 // another router.
 #pragma once
 
-#include "base/random_draw.h"
+#include "base/random_generator.h"
 #include "tests/harness/hosted_fleet.h"
 #include "tests/soak/soak_record.h"
 
@@ -28,7 +28,7 @@
     harness::hosted_fleet& m_fleet;
     soak_record& m_record;
     std::string m_name;
-    random_draw m_draw;
+    random_generator m_draw;
     std::uint64_t m_asked { 0 };
     std::size_t m_router { 0 };
     std::unique_ptr<boost::beast::tcp_stream> m_stream;
--- a/tests/stand_ins/main.cpp
+++ b/tests/stand_ins/main.cpp
@@ -31,7 +31,7 @@
         std::cerr << values.error().to_string() << '\n';
         return 2;
     }
-    net::process_io();
+    net::process_io_context();
     stand_ins::engine engine(static_cast<std::size_t>(values->number("engine-slots")),
         std::chrono::milliseconds(values->number("token-interval-ms")));
     stand_ins::service service(std::chrono::milliseconds(values->number("work-ms")));
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -66,7 +66,7 @@
 
 int main(int count, char** arguments)
 {
-    shedhill::net::process_io();
+    shedhill::net::process_io_context();
     CppUnit::TestResult result;
     CppUnit::TestResultCollector collected;
     CppUnit::BriefTestProgressListener progress;
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Frames: every message survives the way there and back, and damaged frames are refused.
+// Tests that every message is unchanged after encoding and decoding, and that corrupted frames are refused.
 #include "libraries/wire/codec.h"
 
 #include "tests/support/property.h"
@@ -10,7 +10,7 @@
 
 offer_entry make_entry() { return { account_id(7), -3, service_units(250), 9, milliseconds(40), 2, 1 }; }
 
-std::vector<message> one_of_each()
+std::vector<message> one_message_of_each_type()
 {
     run sent;
     sent.grant = grant_number(1);
@@ -48,15 +48,15 @@
 
 class codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(codec_test);
-    CPPUNIT_TEST(every_message_survives_the_way_there_and_back);
+    CPPUNIT_TEST(every_message_round_trips);
     CPPUNIT_TEST(lengths_out_of_range_are_refused);
     CPPUNIT_TEST(truncated_frames_are_refused);
-    CPPUNIT_TEST(damaged_frames_never_break_the_decoder);
+    CPPUNIT_TEST(corrupted_frames_do_not_crash_the_decoder);
     CPPUNIT_TEST_SUITE_END();
 
-    void every_message_survives_the_way_there_and_back()
+    void every_message_round_trips()
     {
-        auto const messages = one_of_each();
+        auto const messages = one_message_of_each_type();
         CPPUNIT_ASSERT_EQUAL(std::variant_size_v<message>, messages.size());
         for (std::size_t index = 0; index < messages.size(); ++index) {
             CPPUNIT_ASSERT_EQUAL(index, messages[index].index());
@@ -76,24 +76,24 @@
 
     void truncated_frames_are_refused()
     {
-        for (auto const& sent : one_of_each()) {
+        for (auto const& sent : one_message_of_each_type()) {
             auto const frame = encode(sent).substr(length_prefix_size);
             for (std::size_t size = 0; size < frame.size() / 2; ++size)
                 CPPUNIT_ASSERT(!decode(frame.substr(0, size)));
         }
     }
 
-    void damaged_frames_never_break_the_decoder()
+    void corrupted_frames_do_not_crash_the_decoder()
     {
         testing::check_property("a damaged frame is refused or decoded", [] {
-            auto const messages = one_of_each();
+            auto const messages = one_message_of_each_type();
             auto const index = *rc::gen::inRange<std::size_t>(0, messages.size());
             auto frame = encode(messages[index]).substr(length_prefix_size);
-            auto const damages = *rc::gen::inRange(1, 8);
-            for (int damage = 0; damage < damages; ++damage)
+            auto const corrupted_bytes = *rc::gen::inRange(1, 8);
+            for (int corrupted = 0; corrupted < corrupted_bytes; ++corrupted)
                 frame[*rc::gen::inRange<std::size_t>(0, frame.size())] = *rc::gen::arbitrary<char>();
             auto const decoded = decode(frame);
-            // What is decoded can be sent on.
+            // A message that was decoded can be encoded again.
             if (decoded)
                 RC_ASSERT(!encode(*decoded).empty());
         });
--- a/utilities/benchmarks/fleet_bench.cpp
+++ b/utilities/benchmarks/fleet_bench.cpp
@@ -283,7 +283,7 @@
         std::cerr << values.error().to_string() << '\n';
         return 2;
     }
-    net::process_io();
+    net::process_io_context();
     std::cout << std::fixed << std::setprecision(2);
     auto const is_wanted
         = [&](std::string const& part) { return values->text("only") == "all" || values->text("only") == part; };
--- a/utilities/shedhill/explain_commands.cpp
+++ b/utilities/shedhill/explain_commands.cpp
@@ -2,7 +2,7 @@
 // One function for each command.
 #include "utilities/shedhill/explain_commands.h"
 
-#include "libraries/diagnosis/request_story.h"
+#include "libraries/diagnosis/request_trace.h"
 #include "libraries/operations/config_session.h"
 
 #include <boost/json.hpp>
@@ -70,7 +70,7 @@
 {
     if (context.arguments.empty())
         return report_usage("explain-request ID [LOG...]; without a file the log is read from standard input");
-    diagnosis::request_story story(context.arguments.front());
+    diagnosis::request_trace story(context.arguments.front());
     for (std::size_t index = 1; index < context.arguments.size(); ++index) {
         std::ifstream log(context.arguments[index]);
         if (!log)
--- a/utilities/shedhill/main.cpp
+++ b/utilities/shedhill/main.cpp
@@ -25,6 +25,6 @@
         std::cout << table.help() << tool::command_help();
         return static_cast<int>(values->has_flag("help") ? tool::exit_code::done : tool::exit_code::usage);
     }
-    net::process_io();
+    net::process_io_context();
     return static_cast<int>(tool::run_command(*values));
 }
--- a/utilities/shedhill/router_commands.cpp
+++ b/utilities/shedhill/router_commands.cpp
@@ -25,7 +25,7 @@
     boost::json::array first_events;
     for (auto const& pool : summary.first_events)
         first_events.push_back(boost::json::object { { "pool", pool.pool }, { "count", pool.count },
-            { "half_within_s", pool.half_within }, { "most_within_s", pool.most_within } });
+            { "half_within_s", pool.median_seconds }, { "most_within_s", pool.percentile_95_seconds } });
     return { { "router", address }, { "ready", summary.is_ready }, { "revision", summary.revision },
         { "configuration_age_ms", summary.configuration_age_ms },
         { "endpoint_list_age_ms", summary.endpoint_list_age_ms }, { "active", summary.active },
@@ -41,8 +41,8 @@
     for (auto const& [reason, count] : summary.refusals)
         std::cout << "    refused " << reason << ' ' << count << '\n';
     for (auto const& pool : summary.first_events)
-        std::cout << "    first events of " << pool.pool << ": half within " << pool.half_within
-                  << " s, 95 in 100 within " << pool.most_within << " s, of " << pool.count << '\n';
+        std::cout << "    first events of " << pool.pool << ": half within " << pool.median_seconds
+                  << " s, 95 in 100 within " << pool.percentile_95_seconds << " s, of " << pool.count << '\n';
 }
 
 boost::json::object to_json(diagnosis::fleet_summary const& fleet, std::vector<std::string> const& silent)
@@ -55,9 +55,9 @@
         refusals[reason] = count;
     boost::json::array measures;
     for (auto const& spread : fleet.measures)
-        measures.push_back(boost::json::object { { "measure", spread.measure }, { "least", spread.least },
-            { "middle", spread.middle }, { "most_below", spread.most_below }, { "greatest", spread.greatest },
-            { "greatest_at", spread.greatest_at } });
+        measures.push_back(boost::json::object { { "measure", spread.measure }, { "least", spread.min },
+            { "middle", spread.median }, { "most_below", spread.percentile_95 }, { "greatest", spread.max },
+            { "greatest_at", spread.max_router } });
     return { { "routers", fleet.routers }, { "ready", fleet.ready }, { "silent", boost::json::value_from(silent) },
         { "revisions", revisions }, { "refusals", refusals }, { "measures", measures } };
 }
@@ -73,8 +73,8 @@
         std::cout << "    refused " << reason << ' ' << count << '\n';
     std::cout << "measure: least, middle, 95 in 100 below, greatest, and where\n";
     for (auto const& spread : fleet.measures)
-        std::cout << "    " << spread.measure << ": " << spread.least << ", " << spread.middle << ", "
-                  << spread.most_below << ", " << spread.greatest << ", " << spread.greatest_at << '\n';
+        std::cout << "    " << spread.measure << ": " << spread.min << ", " << spread.median << ", "
+                  << spread.percentile_95 << ", " << spread.max << ", " << spread.max_router << '\n';
 }
 
 void print(std::vector<diagnosis::engine_row> const& engines)
@@ -83,8 +83,9 @@
         << "endpoint, pool, failure domain, tokens a millisecond, running, unread tokens, held and memory, held back\n";
     for (auto const& engine : engines)
         std::cout << engine.endpoint << ' ' << engine.pool << ' ' << engine.domain << ' ' << engine.tokens_per_ms << ' '
-                  << engine.running << ' ' << engine.unread_tokens << ' ' << engine.held_tokens << ' '
-                  << engine.memory_tokens << ' ' << (engine.held.empty() ? "-" : engine.held) << '\n';
+                  << engine.running << ' ' << engine.pending_prefill_tokens << ' ' << engine.kv_tokens << ' '
+                  << engine.kv_capacity_tokens << ' ' << (engine.hold_reasons.empty() ? "-" : engine.hold_reasons)
+                  << '\n';
 }
 
 boost::json::array to_json(std::vector<diagnosis::engine_row> const& engines)
@@ -93,8 +94,8 @@
     for (auto const& engine : engines)
         listed.push_back(boost::json::object { { "endpoint", engine.endpoint }, { "pool", engine.pool },
             { "domain", engine.domain }, { "tokens_per_ms", engine.tokens_per_ms }, { "running", engine.running },
-            { "unread_tokens", engine.unread_tokens }, { "held_tokens", engine.held_tokens },
-            { "memory_tokens", engine.memory_tokens }, { "held_back", engine.held } });
+            { "unread_tokens", engine.pending_prefill_tokens }, { "held_tokens", engine.kv_tokens },
+            { "memory_tokens", engine.kv_capacity_tokens }, { "held_back", engine.hold_reasons } });
     return listed;
 }
 
