--- a/tests/harness/child_process.cpp
+++ b/tests/harness/child_process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Processes by posix_spawn.
+// Starts processes with posix_spawn.
 #include "tests/harness/child_process.h"
 
 #include <array>
@@ -18,19 +18,19 @@
 
 namespace {
 
-// Starts the program with its standard output at the descriptor; its process id.
+// Starts the program with its standard output at the descriptor and returns its process id.
 result<pid_t> spawn(std::string const& program, std::vector<std::string> const& arguments, int output)
 {
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, output, STDOUT_FILENO);
-    // A port that this process closes would stay open in a child that had inherited it.
+    // A child must not inherit sockets: a port that this process closes would stay open in the child.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-    std::vector<std::string> texts { program };
-    texts.insert(texts.end(), arguments.begin(), arguments.end());
+    std::vector<std::string> argument_texts { program };
+    argument_texts.insert(argument_texts.end(), arguments.begin(), arguments.end());
     std::vector<char*> pointers;
-    pointers.reserve(texts.size() + 1);
-    for (auto& text : texts)
+    pointers.reserve(argument_texts.size() + 1);
+    for (auto& text : argument_texts)
         pointers.push_back(text.data());
     pointers.push_back(nullptr);
     pid_t id = 0;
@@ -45,53 +45,53 @@
 
 result<child_process> child_process::start(std::string const& program, std::vector<std::string> const& arguments)
 {
-    std::array<int, 2> ends {};
-    if (pipe2(ends.data(), O_CLOEXEC) != 0)
-        return fail("start process", program, "no pipe");
-    auto const id = spawn(program, arguments, ends[1]);
-    close(ends[1]);
+    std::array<int, 2> pipe_ends {};
+    if (pipe2(pipe_ends.data(), O_CLOEXEC) != 0)
+        return fail("start process", program, "cannot create a pipe");
+    auto const id = spawn(program, arguments, pipe_ends[1]);
+    close(pipe_ends[1]);
     child_process started;
     started.m_id = TRY(id);
     std::string line;
     char character = 0;
-    while (read(ends[0], &character, 1) == 1 && character != '\n')
+    while (read(pipe_ends[0], &character, 1) == 1 && character != '\n')
         line.push_back(character);
-    // NOTE: The pipe stays open, since the child may print more; it ends with this process.
-    TRY_VOID(started.take_first_line(program, line));
+    // NOTE: The pipe stays open until this process ends, since the child may print more.
+    TRY_VOID(started.read_addresses(program, line));
     return started;
 }
 
 result<child_process> child_process::start_logged(
     std::string const& program, std::vector<std::string> const& arguments, std::string const& log_path)
 {
-    constexpr int most_pauses = 3000;
+    constexpr int max_pauses = 3000;
     constexpr std::chrono::milliseconds pause { 5 };
     constexpr mode_t mode = 0644;
     auto const log = open(log_path.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, mode);
     if (log < 0)
-        return fail("start process", log_path, "the log cannot be written");
+        return fail("start process", log_path, "cannot open the log for writing");
     auto const start = lseek(log, 0, SEEK_END);
     auto const id = spawn(program, arguments, log);
     close(log);
     child_process started;
     started.m_id = TRY(id);
-    for (int paused = 0; paused < most_pauses; ++paused) {
+    for (int paused = 0; paused < max_pauses; ++paused) {
         std::ifstream written(log_path);
         written.seekg(start);
         std::string line;
         if (std::getline(written, line) && !written.eof()) {
-            TRY_VOID(started.take_first_line(program, line));
+            TRY_VOID(started.read_addresses(program, line));
             return started;
         }
         boost::this_fiber::sleep_for(pause);
     }
-    return fail("start process", program, "did not say where it listens");
+    return fail("start process", program, "did not print its listening addresses");
 }
 
-result<void> child_process::take_first_line(std::string const& program, std::string const& line)
+result<void> child_process::read_addresses(std::string const& program, std::string const& line)
 {
     if (line.starts_with('{')) {
-        // A line of a structured log: ports are its fields "NAME_port".
+        // The line is of a structured log, whose fields "NAME_port" hold the ports.
         constexpr std::string_view suffix = "_port";
         auto const fields = boost::json::parse(line);
         for (auto const& [name, value] : fields.as_object()) {
@@ -106,7 +106,7 @@
     std::string word;
     words >> word;
     if (word != "listening")
-        return fail("start process", program, "did not say where it listens: " + line);
+        return fail("start process", program, "did not print its listening addresses, but: " + line);
     while (words >> word) {
         auto const equals = word.find('=');
         m_ports[word.substr(0, equals)] = word.substr(equals + 1);
@@ -117,19 +117,19 @@
 result<int> child_process::run(
     std::string const& program, std::vector<std::string> const& arguments, std::string& output)
 {
-    std::array<int, 2> ends {};
-    if (pipe2(ends.data(), O_CLOEXEC) != 0)
-        return fail("run process", program, "no pipe");
-    auto const id = spawn(program, arguments, ends[1]);
-    close(ends[1]);
-    auto const printed = ends[0];
+    std::array<int, 2> pipe_ends {};
+    if (pipe2(pipe_ends.data(), O_CLOEXEC) != 0)
+        return fail("run process", program, "cannot create a pipe");
+    auto const id = spawn(program, arguments, pipe_ends[1]);
+    close(pipe_ends[1]);
+    auto const output_end = pipe_ends[0];
     child_process started;
     started.m_id = TRY(id);
     // The program may need an answer from a fiber of this process, so reading must not block the thread.
-    fcntl(printed, F_SETFL, O_NONBLOCK);
+    fcntl(output_end, F_SETFL, O_NONBLOCK);
     std::array<char, 4096> piece {};
     while (true) {
-        auto const size = read(printed, piece.data(), piece.size());
+        auto const size = read(output_end, piece.data(), piece.size());
         if (size == 0)
             break;
         if (size > 0)
@@ -137,10 +137,10 @@
         else
             boost::this_fiber::sleep_for(std::chrono::milliseconds(5));
     }
-    close(printed);
+    close(output_end);
     int code = -1;
     if (!started.wait_for_end(code))
-        return fail("run process", program, "does not end");
+        return fail("run process", program, "did not end in time");
     return code;
 }
 
@@ -170,8 +170,8 @@
 
 bool child_process::wait_for_end(int& exit_code)
 {
-    constexpr int most_pauses = 3000;
-    for (int paused = 0; paused < most_pauses; ++paused) {
+    constexpr int max_pauses = 3000;
+    for (int paused = 0; paused < max_pauses; ++paused) {
         int state = 0;
         if (waitpid(m_id, &state, WNOHANG) == m_id) {
             m_id = 0;
--- a/tests/harness/child_process.h
+++ b/tests/harness/child_process.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A process that a test started, and that ends with it.
+// Starts and controls a process for a test. The process is killed when its object is destroyed.
 #pragma once
 
 #include "base/error.h"
@@ -14,13 +14,13 @@
 
 class child_process {
 public:
-    // Starts the program and reads its "listening NAME=PORT ..." line, or the line of its log that names its ports.
-    // What it prints after that is never read.
+    // Starts the program and reads its first line: "listening NAME=PORT ...", or a line of a structured log that names
+    // the ports. Later output is never read.
     static result<child_process> start(std::string const& program, std::vector<std::string> const& arguments);
-    // The same, but all that it prints goes to the end of the file.
+    // As start(), but the output is appended to the file.
     static result<child_process> start_logged(
         std::string const& program, std::vector<std::string> const& arguments, std::string const& log_path);
-    // Runs the program to its end and returns its exit code; what it printed goes into output.
+    // Runs the program to its end, appends its standard output to output and returns its exit code.
     static result<int> run(std::string const& program, std::vector<std::string> const& arguments, std::string& output);
 
     child_process(child_process&& other) noexcept;
@@ -29,26 +29,26 @@
     child_process& operator=(child_process const&) = delete;
     ~child_process();
 
-    // "127.0.0.1:PORT" of a named address.
+    // Returns "127.0.0.1:PORT" for the address of this name. Throws std::out_of_range if there is none.
     [[nodiscard]] std::string address(std::string const& name) const;
     void send_signal(int signal) const;
-    // Waits without blocking the other fibers; false if it is still running when the time is up.
+    // Waits up to 30 seconds without blocking other fibers. Returns false if the process is still running then.
     bool wait_for_end(int& exit_code);
-    // Whether it has ended by itself.
+    // Tells whether the process has ended.
     bool has_ended();
     void kill();
     [[nodiscard]] bool is_running() const { return m_id > 0; }
 
 private:
     child_process() = default;
-    // Reads the line that names the ports.
-    result<void> take_first_line(std::string const& program, std::string const& line);
+    // Stores the ports that the line names.
+    result<void> read_addresses(std::string const& program, std::string const& line);
 
     pid_t m_id { 0 };
     std::map<std::string, std::string> m_ports;
 };
 
-// Where the programs of this build are.
+// Returns the path of a program of this build.
 std::string program_path(std::string const& name);
 
 } // namespace shedhill::harness
--- a/tests/harness/demo.cpp
+++ b/tests/harness/demo.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The main job in small: two partners' stand-ins, endpoint processes and routers on loopback, and one streamed answer.
+// Demonstrates a small fleet on loopback: stand-ins of two partners, endpoint processes, routers, one streamed answer
+// and one order.
 #include "libraries/net/fiber_scheduler.h"
 #include "tests/harness/caller.h"
 #include "tests/harness/fleet.h"
@@ -20,16 +21,16 @@
         return EXIT_FAILURE;
     }
     std::cout << "fleet: 2 routers, 7 endpoint processes, 2 partners\n";
-    auto const answer = harness::ask(
+    auto const answer = harness::request_chat(
         started->http(0), harness::fleet::key_of("recetario/team-0"), "cook", "adapt the stew for a clay pot", 8);
     std::cout << "recetario/team-0 asked for 8 tokens and got:\n  " << answer.text << '\n'
-              << "first token after " << answer.first_token.count() << " ms, whole after " << answer.total.count()
-              << " ms\n";
+              << "first token after " << answer.time_to_first_token.count() << " ms, complete after "
+              << answer.total_time.count() << " ms\n";
     auto const order = harness::call_service(started->http(1), harness::fleet::key_of("batinah/team-1"),
         "/services/counter/orders", "one clutch", "order-1");
     if (order)
         std::cout << "batinah/team-1 ordered once and got: " << order->body << '\n';
-    auto const is_good = answer.is_whole && order && order->status == 200;
-    std::cout << (is_good ? "served" : "NOT served") << '\n';
-    return is_good ? EXIT_SUCCESS : EXIT_FAILURE;
+    auto const is_served = answer.is_whole && order && order->status == 200;
+    std::cout << (is_served ? "served" : "NOT served") << '\n';
+    return is_served ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/harness/fault_proxy.cpp
+++ b/tests/harness/fault_proxy.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Two fibers for each connection, one for each direction.
+// Relays each connection with two fibers, one for each direction.
 #include "tests/harness/fault_proxy.h"
 
 #include "libraries/net/address.h"
@@ -19,9 +19,9 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-constexpr std::size_t piece_size = 8192;
-// How often a direction that is cut looks whether it has healed.
-constexpr std::chrono::milliseconds healing_interval { 20 };
+constexpr std::size_t chunk_size = 8192;
+// Interval at which a relay of a cut direction checks whether the fault has ended.
+constexpr std::chrono::milliseconds recovery_poll_interval { 20 };
 
 void reset(tcp::socket& socket)
 {
@@ -39,30 +39,31 @@
     bool is_over { false };
     std::vector<std::weak_ptr<connection>> connections;
 
-    [[nodiscard]] bool is_cut(bool is_onward) const
+    [[nodiscard]] bool is_cut(bool is_to_target) const
     {
         if (is_over)
             return false;
-        return fault == link_fault::silent || fault == (is_onward ? link_fault::cut_onward : link_fault::cut_back);
+        return fault == link_fault::silent
+            || fault == (is_to_target ? link_fault::cut_to_target : link_fault::cut_from_target);
     }
 };
 
 struct fault_proxy::connection {
     connection(std::shared_ptr<shared_state> shared, tcp::socket from)
         : state(std::move(shared))
-        , opener(std::move(from))
+        , client(std::move(from))
         , target(net::process_io_context())
     {
     }
 
     void end()
     {
-        reset(opener);
+        reset(client);
         reset(target);
     }
 
     std::shared_ptr<shared_state> state;
-    tcp::socket opener;
+    tcp::socket client;
     tcp::socket target;
     bool is_silent { false };
 };
@@ -70,9 +71,9 @@
 result<std::unique_ptr<fault_proxy>> fault_proxy::open(std::string const& target)
 {
     auto acceptor = TRY(net::open_acceptor("127.0.0.1:0"));
-    auto made = std::unique_ptr<fault_proxy>(new fault_proxy(std::move(acceptor), target));
-    made->accept_next();
-    return made;
+    auto proxy = std::unique_ptr<fault_proxy>(new fault_proxy(std::move(acceptor), target));
+    proxy->accept_next();
+    return proxy;
 }
 
 fault_proxy::fault_proxy(tcp::acceptor acceptor, std::string target)
@@ -105,8 +106,8 @@
 
 void fault_proxy::reset_connections()
 {
-    for (auto const& known : m_state->connections) {
-        if (auto const open = known.lock())
+    for (auto const& entry : m_state->connections) {
+        if (auto const open = entry.lock())
             open->end();
     }
     m_state->connections.clear();
@@ -118,7 +119,7 @@
     m_acceptor->close(ignored);
 }
 
-result<void> fault_proxy::take_connections()
+result<void> fault_proxy::accept_connections()
 {
     if (m_acceptor->is_open())
         return {};
@@ -129,67 +130,69 @@
 
 void fault_proxy::silence_connections()
 {
-    for (auto const& known : m_state->connections) {
-        if (auto const open = known.lock())
+    for (auto const& entry : m_state->connections) {
+        if (auto const open = entry.lock())
             open->is_silent = true;
     }
 }
 
 void fault_proxy::accept_next()
 {
-    // The handler outlives this object by one call at the most; what it uses is shared.
+    // The handler may be called once after this object is destroyed, so it shares ownership of what it uses then.
     m_acceptor->async_accept(
-        [acceptor = m_acceptor, state = m_state, this](boost::system::error_code failure, tcp::socket opener) {
+        [acceptor = m_acceptor, state = m_state, this](boost::system::error_code failure, tcp::socket client) {
             if (state->is_over || failure == asio::error::operation_aborted)
                 return;
             if (!failure)
-                serve(state, std::move(opener));
+                serve(state, std::move(client));
             accept_next();
         });
 }
 
-void fault_proxy::serve(std::shared_ptr<shared_state> const& state, tcp::socket opener)
+void fault_proxy::serve(std::shared_ptr<shared_state> const& state, tcp::socket client)
 {
     if (state->fault == link_fault::reset)
-        return reset(opener);
-    auto const made = std::make_shared<connection>(state, std::move(opener));
-    std::erase_if(state->connections, [](auto const& known) { return known.expired(); });
-    state->connections.push_back(made);
-    net::start_fiber([made] {
-        auto const target = net::parse_address(made->state->target);
-        if (!target
-            || net::await_io([&](auto handler) { made->target.async_connect(*target, std::move(handler)); }).failure)
-            return made->end();
-        start_pump(made, true);
-        start_pump(made, false);
+        return reset(client);
+    auto const shared_connection = std::make_shared<connection>(state, std::move(client));
+    std::erase_if(state->connections, [](auto const& entry) { return entry.expired(); });
+    state->connections.push_back(shared_connection);
+    net::start_fiber([shared_connection] {
+        auto const target = net::parse_address(shared_connection->state->target);
+        if (!target || net::await_io([&](auto handler) {
+                shared_connection->target.async_connect(*target, std::move(handler));
+            }).failure)
+            return shared_connection->end();
+        start_relay(shared_connection, true);
+        start_relay(shared_connection, false);
     });
 }
 
-void fault_proxy::start_pump(std::shared_ptr<connection> const& made, bool is_onward)
+void fault_proxy::start_relay(std::shared_ptr<connection> const& shared_connection, bool is_to_target)
 {
-    net::start_fiber([made, is_onward] {
-        auto& from = is_onward ? made->opener : made->target;
-        auto& to = is_onward ? made->target : made->opener;
-        std::array<char, piece_size> piece {};
+    net::start_fiber([shared_connection, is_to_target] {
+        auto& from = is_to_target ? shared_connection->client : shared_connection->target;
+        auto& to = is_to_target ? shared_connection->target : shared_connection->client;
+        std::array<char, chunk_size> chunk {};
         while (true) {
             auto const read
-                = net::await_io([&](auto handler) { from.async_read_some(asio::buffer(piece), std::move(handler)); });
-            while (made->state->is_cut(is_onward) || (made->is_silent && !made->state->is_over))
-                boost::this_fiber::sleep_for(healing_interval);
-            if (made->state->fault == link_fault::delayed)
-                boost::this_fiber::sleep_for(made->state->delay);
+                = net::await_io([&](auto handler) { from.async_read_some(asio::buffer(chunk), std::move(handler)); });
+            while (shared_connection->state->is_cut(is_to_target)
+                || (shared_connection->is_silent && !shared_connection->state->is_over))
+                boost::this_fiber::sleep_for(recovery_poll_interval);
+            if (shared_connection->state->fault == link_fault::delayed)
+                boost::this_fiber::sleep_for(shared_connection->state->delay);
             if (read.failure == asio::error::eof) {
                 boost::system::error_code ignored;
                 to.shutdown(tcp::socket::shutdown_send, ignored);
                 return;
             }
             if (read.failure)
-                return made->end();
+                return shared_connection->end();
             auto const written = net::await_io([&](auto handler) {
-                asio::async_write(to, asio::buffer(piece.data(), read.size), std::move(handler));
+                asio::async_write(to, asio::buffer(chunk.data(), read.size), std::move(handler));
             });
             if (written.failure)
-                return made->end();
+                return shared_connection->end();
         }
     });
 }
--- a/tests/harness/fault_proxy.h
+++ b/tests/harness/fault_proxy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A loopback proxy for TCP that misbehaves on demand, so that faults of links come from outside the programs under
-// test. Bytes that a cut holds up arrive once it heals, as on a real network.
+// A TCP proxy on loopback that injects link faults from outside the programs under test. Bytes that a cut delays arrive
+// once the cut ends, as on a real network.
 #pragma once
 
 #include "base/error.h"
@@ -15,35 +15,36 @@
 
 enum class link_fault {
     none,
-    // Each piece is held for the delay.
+    // Each chunk of data is delayed.
     delayed,
-    // Connections are reset, those that are open and those that come.
+    // Open connections and new ones are reset.
     reset,
-    // What the opener of a connection sends does not arrive.
-    cut_onward,
-    // What the accepting side answers does not arrive.
-    cut_back,
-    // Nothing arrives on either side.
+    // Data from the client does not reach the target.
+    cut_to_target,
+    // Data from the target does not reach the client.
+    cut_from_target,
+    // No data arrives in either direction.
     silent,
 };
 
 class fault_proxy {
 public:
-    // Listens on a port of the system's choice.
+    // Listens on a port that the operating system selects.
     static result<std::unique_ptr<fault_proxy>> open(std::string const& target);
     ~fault_proxy();
     fault_proxy(fault_proxy const&) = delete;
     fault_proxy& operator=(fault_proxy const&) = delete;
 
     [[nodiscard]] std::string address() const;
-    // Where new connections go from now on.
+    // Sets the address that new connections are relayed to.
     void set_target(std::string const& target);
     void set_fault(link_fault fault, std::chrono::milliseconds delay = {});
     void reset_connections();
-    // Refuses new connections, as a machine does on which nothing listens, or takes them again at the same address.
+    // Closes the port, so that the operating system refuses new connections.
     void refuse_connections();
-    result<void> take_connections();
-    // Nothing arrives any more on the connections that are open; new ones work.
+    // Listens again at the same address.
+    result<void> accept_connections();
+    // Stops relaying data on the connections that are open. New connections work.
     void silence_connections();
 
 private:
@@ -52,11 +53,11 @@
 
     explicit fault_proxy(boost::asio::ip::tcp::acceptor acceptor, std::string target);
     void accept_next();
-    static void serve(std::shared_ptr<shared_state> const& state, boost::asio::ip::tcp::socket opener);
-    static void start_pump(std::shared_ptr<connection> const& made, bool is_onward);
+    static void serve(std::shared_ptr<shared_state> const& state, boost::asio::ip::tcp::socket client);
+    static void start_relay(std::shared_ptr<connection> const& shared_connection, bool is_to_target);
 
     std::shared_ptr<boost::asio::ip::tcp::acceptor> m_acceptor;
-    // As it was when it last listened.
+    // Stays the same while the port is closed.
     std::string m_address;
     std::shared_ptr<shared_state> m_state;
 };
--- a/tests/harness/fleet.cpp
+++ b/tests/harness/fleet.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Starts the processes in order and declares what they serve.
+// Starts the processes of a fleet in order and declares the teams, endpoints and policies.
 #include "tests/harness/fleet.h"
 
 #include "libraries/net/http.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds fetch_limit { 5000 };
+constexpr std::chrono::milliseconds fetch_timeout { 5000 };
 constexpr char const* fleet_key = "a-key-for-tests-only";
 
 std::vector<config::object> team_objects(partner_shape const& partner)
@@ -93,14 +93,15 @@
 
 result<void> fleet::wait_until_ready(std::size_t router) const
 {
-    constexpr int most_pauses = 400;
-    for (int paused = 0; paused < most_pauses; ++paused) {
-        auto const asked = net::fetch(m_routers.at(router).address("admin"), { "GET", "/readyz", {}, {} }, fetch_limit);
-        if (asked && asked->status == 200)
+    constexpr int max_pauses = 400;
+    for (int paused = 0; paused < max_pauses; ++paused) {
+        auto const answer
+            = net::fetch(m_routers.at(router).address("admin"), { "GET", "/readyz", {}, {} }, fetch_timeout);
+        if (answer && answer->status == 200)
             return {};
         boost::this_fiber::sleep_for(std::chrono::milliseconds(25));
     }
-    return fail("start fleet", "router", "is not ready");
+    return fail("start fleet", "router", "did not become ready in time");
 }
 
 result<void> fleet::publish_vms(std::vector<std::string> const& leaving) const
@@ -122,13 +123,13 @@
     auto const report
         = TRY(operations::submit(platform, partner_name(partner), objects, operations::pruning::keep_others));
     if (report.state != operations::submit_state::committed && report.state != operations::submit_state::unchanged)
-        return fail("apply", partner, "not committed");
+        return fail("apply", partner, "the declarations were not committed");
     return {};
 }
 
-result<std::map<std::string, double>> fleet::metrics(child_process const& of) const
+result<std::map<std::string, double>> fleet::metrics(child_process const& process) const
 {
-    auto const response = TRY(net::fetch(of.address("admin"), { "GET", "/metrics", {}, {} }, fetch_limit));
+    auto const response = TRY(net::fetch(process.address("admin"), { "GET", "/metrics", {}, {} }, fetch_timeout));
     std::map<std::string, double> values;
     std::istringstream lines(response.body);
     std::string line;
@@ -174,12 +175,12 @@
 }
 
 result<void> fleet::start_endpoint(partner_shape const& partner, std::string const& name, std::string const& /*pool*/,
-    std::string const& domain, child_process const& behind)
+    std::string const& domain, child_process const& backend)
 {
     auto const vm = partner.name + "-" + name;
     std::vector<std::string> arguments { "--role=endpoint", "--vm=" + vm, "--failure-domain=" + domain,
         "--fleet-key=" + std::string(fleet_key), "--frames=127.0.0.1:0", "--admin=127.0.0.1:0",
-        "--engine=" + behind.address("http"), "--slots=" + std::to_string(m_shape.slots) };
+        "--engine=" + backend.address("http"), "--slots=" + std::to_string(m_shape.slots) };
     arguments.insert(arguments.end(), m_shape.endpoint_settings.begin(), m_shape.endpoint_settings.end());
     m_endpoints.push_back(TRY(child_process::start(program_path("shedhilld"), arguments)));
     m_vms.push_back({ vm, "endpoint", domain, partner.name + "/" + name, m_endpoints.back().address("frames") });
@@ -205,7 +206,7 @@
 result<boost::json::value> post_json(
     std::string const& address, std::string const& target, boost::json::object const& body)
 {
-    auto const response = TRY(net::fetch(address, { "POST", target, {}, boost::json::serialize(body) }, fetch_limit));
+    auto const response = TRY(net::fetch(address, { "POST", target, {}, boost::json::serialize(body) }, fetch_timeout));
     boost::system::error_code failure;
     auto json = boost::json::parse(response.body, failure);
     if (failure)
@@ -215,7 +216,7 @@
 
 result<boost::json::value> get_json(std::string const& address, std::string const& target)
 {
-    auto const response = TRY(net::fetch(address, { "GET", target, {}, {} }, fetch_limit));
+    auto const response = TRY(net::fetch(address, { "GET", target, {}, {} }, fetch_timeout));
     boost::system::error_code failure;
     auto json = boost::json::parse(response.body, failure);
     if (failure)
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A whole fleet of real processes on loopback: stand-ins, endpoint processes and routers.
+// Starts a complete fleet of real processes on loopback: stand-ins, endpoint processes and routers.
 #pragma once
 
 #include "libraries/config/objects.h"
@@ -12,6 +12,7 @@
 
 namespace shedhill::harness {
 
+// What one partner declares: its failure domains, a model with its engines, a service and its teams.
 struct partner_shape {
     std::string name;
     std::vector<std::string> domains;
@@ -22,28 +23,33 @@
     std::size_t teams { 0 };
 };
 
+// The processes of a fleet and their settings.
 struct fleet_shape {
     std::vector<partner_shape> partners;
     std::size_t routers { 1 };
+    // Slots of each engine.
     std::size_t slots { 6 };
     int token_interval_ms { 5 };
+    // Duration of one run of a plain service.
     int work_ms { 5 };
+    // Tells whether partners share their endpoints with each other.
     bool is_shared { false };
     std::vector<std::string> router_settings;
     std::vector<std::string> endpoint_settings;
 };
 
-// The deployments of today.
+// The deployments of the two partners at full size.
 partner_shape recetario_shape();
 partner_shape batinah_shape();
-// One partner with a model of three replicas, a service of one, and a few teams.
+// One partner with three engines, one instance of a service, and four teams.
 fleet_shape small_shape();
 
 class fleet {
 public:
+    // Starts all processes and waits until all routers are ready.
     static result<fleet> start(fleet_shape const& shape);
 
-    // The API key of a team.
+    // Returns the API key of a team.
     [[nodiscard]] static std::string key_of(std::string const& team) { return "key-" + team; }
 
     [[nodiscard]] std::string http(std::size_t router) const { return m_routers.at(router).address("http"); }
@@ -55,13 +61,15 @@
     [[nodiscard]] child_process& platform() { return m_platform.at(0); }
 
     result<void> add_router();
-    // Starts a router again on the same addresses, with nothing that it knew.
+    // Kills a router and starts it again on the same addresses, without any state of its previous instance.
     result<void> restart_router(std::size_t index);
     result<void> wait_until_ready(std::size_t router) const;
-    // Publishes the VM list, with some VMs marked as leaving.
+    // Publishes the list of VMs, with the given VMs marked as leaving.
     result<void> publish_vms(std::vector<std::string> const& leaving = {}) const;
+    // Declares the objects of a partner.
     [[nodiscard]] result<void> apply(std::string const& partner, std::vector<config::object> const& objects) const;
-    [[nodiscard]] result<std::map<std::string, double>> metrics(child_process const& of) const;
+    // Returns the values of the process's metrics by name with labels.
+    [[nodiscard]] result<std::map<std::string, double>> metrics(child_process const& process) const;
 
 private:
     struct listed_vm {
@@ -74,11 +82,11 @@
 
     result<void> start_partner(partner_shape const& partner);
     result<void> start_endpoint(partner_shape const& partner, std::string const& name, std::string const& pool,
-        std::string const& domain, child_process const& behind);
+        std::string const& domain, child_process const& backend);
     result<child_process> start_router(std::string const& vm, std::string const& http, std::string const& frames);
 
     fleet_shape m_shape;
-    // One element; a child process has no empty state of its own.
+    // Holds one element, since a child process has no empty state.
     std::vector<child_process> m_platform;
     std::vector<child_process> m_engines;
     std::vector<child_process> m_services;
--- a/tests/harness/hosted_fleet.cpp
+++ b/tests/harness/hosted_fleet.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Starts stand-ins and routers and talks to them.
+// Starts the stand-ins and routers, and sends commands and requests to them.
 #include "tests/harness/hosted_fleet.h"
 
 #include "tests/harness/fleet.h"
@@ -16,12 +16,12 @@
 
 namespace json = boost::json;
 
-constexpr std::chrono::milliseconds fetch_limit { 8000 };
+constexpr std::chrono::milliseconds fetch_timeout { 8000 };
 constexpr std::chrono::milliseconds pause { 10 };
-// Waiting ends when something has happened; this only bounds a test that fails.
-constexpr int most_pauses = 2000;
+// Bounds the wait of a test that fails to 20 seconds; otherwise waiting ends with the condition.
+constexpr int max_pauses = 2000;
 constexpr double cold_overage = 1.5;
-constexpr double cold_slack = 5;
+constexpr double cold_start_slack = 5;
 
 json::object make_route(std::string const& prefix, char const* kind, bool is_resumable)
 {
@@ -34,31 +34,31 @@
 
 result<hosted_fleet> hosted_fleet::start(hosted_fleet_options const& options)
 {
-    hosted_fleet made;
-    made.m_options = options;
-    static int folders = 0;
-    made.m_folder = std::filesystem::temp_directory_path()
-        / ("shedhill-hosted-" + std::to_string(getpid()) + "-" + std::to_string(++folders));
-    std::filesystem::create_directories(made.m_folder);
-    made.m_store.push_back(
-        TRY(made.start_process("store", program_path("shedhill-stand-in"), { "--kind=hosted-store" })));
+    hosted_fleet started;
+    started.m_options = options;
+    static int folder_count = 0;
+    started.m_folder = std::filesystem::temp_directory_path()
+        / ("shedhill-hosted-" + std::to_string(getpid()) + "-" + std::to_string(++folder_count));
+    std::filesystem::create_directories(started.m_folder);
+    started.m_store.push_back(
+        TRY(started.start_process("store", program_path("shedhill-stand-in"), { "--kind=hosted-store" })));
     for (std::size_t index = 0; index < options.replicas; ++index) {
-        made.m_incarnations.push_back("i-" + std::to_string(index));
-        made.m_cold_until.emplace_back();
-        made.m_replicas.push_back(TRY(made.start_replica(index, replica_start::warm)));
+        started.m_incarnations.push_back("i-" + std::to_string(index));
+        started.m_cold_until.emplace_back();
+        started.m_replicas.push_back(TRY(started.start_replica(index, replica_start::warm)));
         if (options.links == link_kind::through_proxies)
-            made.m_replica_links.push_back(TRY(fault_proxy::open(made.m_replicas.back().address("http"))));
-        made.list_replica(index, "ready");
+            started.m_replica_links.push_back(TRY(fault_proxy::open(started.m_replicas.back().address("http"))));
+        started.list_replica(index, "ready");
     }
-    made.declare(1);
+    started.declare_configuration(1);
     for (std::size_t index = 0; index < options.routers; ++index) {
         if (options.links == link_kind::through_proxies)
-            made.m_store_links.push_back(TRY(fault_proxy::open(made.m_store.at(0).address("http"))));
-        made.m_routers.push_back(TRY(made.start_router(index, {})));
+            started.m_store_links.push_back(TRY(fault_proxy::open(started.m_store.at(0).address("http"))));
+        started.m_routers.push_back(TRY(started.start_router(index, {})));
     }
     for (std::size_t index = 0; index < options.routers; ++index)
-        TRY_VOID(made.wait_until_ready(index));
-    return made;
+        TRY_VOID(started.wait_until_ready(index));
+    return started;
 }
 
 result<child_process> hosted_fleet::start_process(
@@ -76,7 +76,7 @@
     if (!m_options.log_folder.empty())
         arguments.push_back("--runs-file=" + runs_file(index).string());
     if (start == replica_start::cold && m_options.cold_per_second > 0) {
-        auto const limit = cold_overage * m_options.cold_per_second + cold_slack;
+        auto const limit = cold_overage * m_options.cold_per_second + cold_start_slack;
         arguments.push_back("--cold-ms=" + std::to_string(m_options.cold_time.count()));
         arguments.push_back("--cold-limit=" + std::to_string(static_cast<int>(limit)));
     }
@@ -127,7 +127,7 @@
         { "bounds",
             json::object { { "grace_s", 8 }, { "retry_budget_ratio", m_options.retry_ratio },
                 { "retry_slack", m_options.retry_slack }, { "cold_overage", cold_overage },
-                { "cold_start_slack", cold_slack } } } };
+                { "cold_start_slack", cold_start_slack } } } };
     if (!seed.empty())
         settings["seed_nodes"] = json::array { json::value(seed) };
     auto const path = m_folder / ("router-" + std::to_string(index) + ".json");
@@ -152,21 +152,21 @@
 
 result<void> hosted_fleet::wait_until_ready(std::size_t router) const
 {
-    for (int paused = 0; paused < most_pauses; ++paused) {
+    for (int paused = 0; paused < max_pauses; ++paused) {
         auto const answer
-            = net::fetch(m_routers.at(router).address("ready"), { "GET", "/readyz", {}, {} }, fetch_limit);
+            = net::fetch(m_routers.at(router).address("ready"), { "GET", "/readyz", {}, {} }, fetch_timeout);
         if (answer && answer->status == 200)
             return {};
         boost::this_fiber::sleep_for(pause);
     }
-    return fail("wait for router", std::to_string(router), "does not become ready");
+    return fail("wait for router", std::to_string(router), "did not become ready in time");
 }
 
-bool hosted_fleet::becomes_unready(std::size_t router) const
+bool hosted_fleet::wait_until_unready(std::size_t router) const
 {
-    for (int paused = 0; paused < most_pauses; ++paused) {
+    for (int paused = 0; paused < max_pauses; ++paused) {
         auto const answer
-            = net::fetch(m_routers.at(router).address("ready"), { "GET", "/readyz", {}, {} }, fetch_limit);
+            = net::fetch(m_routers.at(router).address("ready"), { "GET", "/readyz", {}, {} }, fetch_timeout);
         if (!answer || answer->status != 200)
             return true;
         boost::this_fiber::sleep_for(pause);
@@ -174,12 +174,12 @@
     return false;
 }
 
-void hosted_fleet::control_store(json::object const& wanted) const
+void hosted_fleet::control_store(json::object const& command) const
 {
-    (void)post_json(m_store.at(0).address("http"), "/control", wanted);
+    (void)post_json(m_store.at(0).address("http"), "/control", command);
 }
 
-void hosted_fleet::declare(std::uint64_t version, std::vector<std::string> const& more_prefixes) const
+void hosted_fleet::declare_configuration(std::uint64_t version, std::vector<std::string> const& more_prefixes) const
 {
     json::array routes { make_route("/stream/", "stream", true), make_route("/stream/once/", "stream", false),
         make_route("/order/", "unsafe", false), make_route("/look/", "safe", false) };
@@ -204,7 +204,7 @@
         json::array { json::object { { "table", "op" }, { "key", "evacuate/" + domain }, { "value", "{}" } } } } });
 }
 
-void hosted_fleet::give_back(std::string const& domain) const
+void hosted_fleet::end_evacuation(std::string const& domain) const
 {
     control_store(
         { { "remove", json::array { json::object { { "table", "op" }, { "key", "evacuate/" + domain } } } } });
@@ -212,11 +212,11 @@
 
 void hosted_fleet::list_replica(std::size_t index, char const* state) const
 {
-    auto const left = std::chrono::duration_cast<std::chrono::milliseconds>(
+    auto const time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
         m_cold_until.at(index) - std::chrono::steady_clock::now());
     json::object const entry { { "service", "plain" }, { "address", replica_address(index) },
         { "zone", domain_of_replica(index) }, { "version", "v1" }, { "capacity", 40 }, { "state", state },
-        { "cold_remaining_ms", std::max<std::int64_t>(left.count(), 0) }, { "sequence", 1 } };
+        { "cold_remaining_ms", std::max<std::int64_t>(time_left.count(), 0) }, { "sequence", 1 } };
     control_store({ { "put",
         json::array { json::object {
             { "table", "servers" }, { "key", m_incarnations.at(index) }, { "value", json::serialize(entry) } } } } });
@@ -247,7 +247,7 @@
     return all;
 }
 
-result<net::http_response> hosted_fleet::ask(
+result<net::http_response> hosted_fleet::send_request(
     std::size_t router, std::string const& target, std::string const& id, std::string const& key) const
 {
     net::http_request request { target.starts_with("/look/") ? "GET" : "POST", target, {}, {} };
@@ -255,12 +255,13 @@
         { "Authorization", "Bearer " + key } };
     if (request.method == "POST")
         request.body = "a body";
-    return net::fetch(m_routers.at(router).address("callers"), request, fetch_limit);
+    return net::fetch(m_routers.at(router).address("callers"), request, fetch_timeout);
 }
 
 double hosted_fleet::metric(std::size_t router, std::string const& name) const
 {
-    auto const answer = net::fetch(m_routers.at(router).address("metrics"), { "GET", "/metrics", {}, {} }, fetch_limit);
+    auto const answer
+        = net::fetch(m_routers.at(router).address("metrics"), { "GET", "/metrics", {}, {} }, fetch_timeout);
     if (!answer)
         return -1;
     std::istringstream lines(answer->body);
--- a/tests/harness/hosted_fleet.h
+++ b/tests/harness/hosted_fleet.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Routers on stand-ins of the users' platform, as real processes on loopback.
+// Starts routers with stand-ins for the users' platform as real processes on loopback.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -19,20 +19,22 @@
 struct hosted_fleet_options {
     std::size_t routers { 1 };
     std::size_t replicas { 1 };
-    // Over which the routers are spread. Where there are several, they exchange sums as a large fleet does.
+    // Number of failure domains of the routers. With several, routers exchange sums between domains as in a large
+    // fleet.
     std::size_t domains { 1 };
-    // Time of one run, or between two events of a stream.
+    // Duration of one run, and interval between two events of a stream.
     int work_ms { 5 };
-    // Whether each router has a proxy of its own before the store, and each replica one before it.
+    // With proxies, each router has its own proxy to the store, and each replica is reached through its own proxy.
     link_kind links { link_kind::direct };
-    // Where processes log and replicas write down what they ran; empty for nowhere.
+    // Directory for the logs of the processes and the runs files of the replicas; nothing is written if it is empty.
     std::filesystem::path log_folder;
-    // Beside those that every router is started with.
+    // Additional arguments of all routers.
     std::vector<std::string> router_arguments;
     double retry_ratio { 0.5 };
     int retry_slack { 500 };
-    // Requests a second that a replica bears while it is cold, and for how long that is after a restart; 0 for never.
+    // Requests a second that a replica sustains while it is cold; 0 if replicas are never cold.
     int cold_per_second { 0 };
+    // Time that a replica is cold after a restart.
     std::chrono::milliseconds cold_time { 2000 };
 };
 
@@ -54,35 +56,43 @@
     [[nodiscard]] fault_proxy& store_link(std::size_t router) { return *m_store_links.at(router); }
     [[nodiscard]] fault_proxy& replica_link(std::size_t replica) { return *m_replica_links.at(replica); }
     [[nodiscard]] std::string const& incarnation(std::size_t replica) const { return m_incarnations.at(replica); }
-    // What replicas wrote down of arrivals and runs, one file each.
+    // Returns the path of the file in which the replica records its events, one a line.
     [[nodiscard]] std::filesystem::path runs_file(std::size_t replica) const;
 
-    // Kills the replica and starts it as another incarnation; with proxies it has the address of the one before. The
-    // list is not changed.
+    // Kills the replica and starts it as a new incarnation; with proxies it keeps its address. The stored endpoint
+    // entries are not changed.
     result<void> restart_replica(std::size_t index);
-    // Starts the router again, with nothing that it knew, on ports of its own choice; peers are its seeds.
+    // Kills the router and starts it on new ports, without any state of its previous instance and with a running router
+    // as its seed node.
     result<void> restart_router(std::size_t index);
     result<void> wait_until_ready(std::size_t router) const;
-    // Whether readiness becomes false within a while.
-    [[nodiscard]] bool becomes_unready(std::size_t router) const;
+    // Waits until the router is not ready, and returns false if it stays ready for about 20 seconds.
+    [[nodiscard]] bool wait_until_unready(std::size_t router) const;
 
-    // The declared configuration: /stream/ resumes, /once/ does not, /order/ runs once at most, /look/ may be repeated.
-    void declare(std::uint64_t version, std::vector<std::string> const& more_prefixes = {}) const;
-    // An operator wants the failure domain's replicas to receive nothing, or takes that back.
-    // Replicas stand in the failure domains "north" and "south" by turns.
+    // Declares a configuration with the routes /stream/ (resumable streams), /stream/once/ (streams that are not
+    // resumable), /order/ (requests that may run at most once), /look/ (requests that may be repeated), and a
+    // repeatable route for each further prefix.
+    void declare_configuration(std::uint64_t version, std::vector<std::string> const& more_prefixes = {}) const;
+    // Replicas are in the failure domains "north" and "south" alternately.
     [[nodiscard]] static char const* domain_of_replica(std::size_t index) { return index % 2 == 0 ? "north" : "south"; }
+    // evacuate() asks the routers, as an operator does, to send no requests to the failure domain; end_evacuation()
+    // ends the evacuation.
     void evacuate(std::string const& domain) const;
-    void give_back(std::string const& domain) const;
+    void end_evacuation(std::string const& domain) const;
+    // list_replica() writes the endpoint entry of the replica's current incarnation with this state; unlist_replica()
+    // and unlist() remove entries.
     void list_replica(std::size_t index, char const* state) const;
     void unlist_replica(std::size_t index) const { unlist(m_incarnations.at(index)); }
     void unlist(std::string const& incarnation) const;
-    void control_store(boost::json::object const& wanted) const;
+    // Send a command to the /control path of the store or of a replica.
+    void control_store(boost::json::object const& command) const;
     void control_replica(std::size_t index, char const* mode) const;
-    // How often each request ran at all replicas together.
+    // Returns the number of runs at all replicas together by request id.
     [[nodiscard]] boost::json::object runs() const;
 
-    [[nodiscard]] result<net::http_response> ask(
+    [[nodiscard]] result<net::http_response> send_request(
         std::size_t router, std::string const& target, std::string const& id, std::string const& key = "key-1") const;
+    // Returns the value of a metric: 0 if it is not exposed, -1 if the router does not answer.
     [[nodiscard]] double metric(std::size_t router, std::string const& name) const;
 
 private:
@@ -99,7 +109,7 @@
     std::vector<std::unique_ptr<fault_proxy>> m_store_links;
     std::vector<std::unique_ptr<fault_proxy>> m_replica_links;
     std::vector<std::string> m_incarnations;
-    // Until when each replica is cold.
+    // The time until which each replica is cold.
     std::vector<std::chrono::steady_clock::time_point> m_cold_until;
     std::vector<child_process> m_store;
     std::vector<child_process> m_replicas;
--- a/tests/harness/parallel.h
+++ b/tests/harness/parallel.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Runs a function many times at once, each in a fiber, and waits for all.
+// Runs functions concurrently in fibers, and waits for conditions.
 #pragma once
 
 #include "libraries/net/fibers.h"
@@ -10,7 +10,7 @@
 
 namespace shedhill::harness {
 
-// A group of running fibers; all are waited for at the end.
+// A group of running fibers; the destructor waits for all of them.
 class fiber_group {
 public:
     fiber_group() = default;
@@ -38,13 +38,13 @@
 
 inline void pause(int milliseconds) { boost::this_fiber::sleep_for(std::chrono::milliseconds(milliseconds)); }
 
-// Whether the condition came true before a long time had passed. Lets a test go on when something has happened, and not
-// after a time in which it should have.
+// Waits until the condition is true, and returns false if it is not within about 20 seconds. A test that waits for a
+// condition depends on no fixed pause.
 template <typename Condition>
 bool wait_until(Condition condition)
 {
-    constexpr int most_pauses = 1000;
-    for (int paused = 0; paused < most_pauses; ++paused) {
+    constexpr int max_pauses = 1000;
+    for (int paused = 0; paused < max_pauses; ++paused) {
         if (condition())
             return true;
         pause(20);
--- a/tests/processes/fleet_test.cpp
+++ b/tests/processes/fleet_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The promises on real processes: whole answers, at most once, planned stops, with processes killed, frozen and cut.
+// Tests the fleet's guarantees on real processes: complete answers, at-most-once runs and planned stops, while
+// processes are killed, frozen or cut off.
 #include "tests/harness/caller.h"
 #include "tests/harness/fleet.h"
 #include "tests/harness/parallel.h"
@@ -13,17 +14,17 @@
 
 class fleet_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(fleet_test);
-    CPPUNIT_TEST(two_hundred_streams_over_both_deployments_are_whole_and_ones_own);
+    CPPUNIT_TEST(two_hundred_streams_over_both_deployments_are_whole_and_match_their_callers);
     CPPUNIT_TEST(an_unstreamed_answer_arrives_whole);
     CPPUNIT_TEST(a_killed_endpoint_ends_streams_visibly_and_orders_run_once);
-    CPPUNIT_TEST(a_frozen_endpoint_does_not_hold_callers_for_ever);
-    CPPUNIT_TEST(a_planned_stop_of_router_and_endpoint_cuts_no_one_off);
+    CPPUNIT_TEST(a_frozen_endpoint_does_not_block_callers);
+    CPPUNIT_TEST(a_planned_stop_of_router_and_endpoint_cuts_no_request_off);
     CPPUNIT_TEST(a_killed_router_and_a_repeat_at_another_run_an_order_once);
     CPPUNIT_TEST(orders_run_once_while_the_platform_loses_answers);
     CPPUNIT_TEST(a_platform_that_is_down_stops_orders_only);
     CPPUNIT_TEST(a_restarted_router_serves_with_the_platform_down);
-    CPPUNIT_TEST(a_vanished_caller_frees_the_engine);
-    CPPUNIT_TEST(a_caller_that_does_not_read_is_let_go);
+    CPPUNIT_TEST(a_caller_that_disconnects_frees_the_engine);
+    CPPUNIT_TEST(a_caller_that_does_not_read_is_disconnected);
     CPPUNIT_TEST(a_slow_first_token_is_tried_elsewhere_and_answered_once);
     CPPUNIT_TEST_SUITE_END();
 
@@ -36,7 +37,7 @@
 
     static std::string key(std::size_t team) { return fleet::key_of("recetario/team-" + std::to_string(team)); }
 
-    static std::int64_t runs_of(fleet& running, std::string const& order)
+    static std::int64_t count_runs(fleet& running, std::string const& order)
     {
         std::int64_t runs = 0;
         for (auto const& service : running.services()) {
@@ -47,7 +48,7 @@
         return runs;
     }
 
-    // Requests that the engines are working on now.
+    // Returns the number of requests that the engines are running now.
     static std::uint64_t running_at_engines(fleet& running)
     {
         std::uint64_t busy = 0;
@@ -56,7 +57,7 @@
         return busy;
     }
 
-    void two_hundred_streams_over_both_deployments_are_whole_and_ones_own()
+    void two_hundred_streams_over_both_deployments_are_whole_and_match_their_callers()
     {
         fleet_shape shape;
         shape.partners = { recetario_shape(), batinah_shape() };
@@ -70,8 +71,8 @@
                 auto const is_recetario = index % 2 == 0;
                 auto const team = (is_recetario ? "recetario/team-" : "batinah/team-") + std::to_string(index % 16);
                 auto const text = "question " + std::to_string(index);
-                auto const answer
-                    = ask(running.http(index % 3), fleet::key_of(team), is_recetario ? "cook" : "parts", text, 16);
+                auto const answer = request_chat(
+                    running.http(index % 3), fleet::key_of(team), is_recetario ? "cook" : "parts", text, 16);
                 whole += answer.is_whole && answer.text == expected_text(text, 16) ? 1 : 0;
             });
         }
@@ -102,7 +103,7 @@
         for (std::size_t index = 0; index < 18; ++index) {
             callers.start([&, index] {
                 auto const text = "q" + std::to_string(index);
-                auto const answer = ask(running.http(0), key(index % 4), "cook", text, 40);
+                auto const answer = request_chat(running.http(0), key(index % 4), "cook", text, 40);
                 if (answer.is_whole && answer.text == expected_text(text, 40))
                     ++whole;
                 else if (!answer.is_whole && answer.has_error_event)
@@ -113,10 +114,10 @@
             orders.push_back(call_service(running.http(0), key(0), "/services/catalogue/orders", "list", "order-1"));
         });
         CPPUNIT_ASSERT(
-            wait_until([&] { return running_at_engines(running) == 18 && runs_of(running, "order-1") == 1; }));
-        // Answers have begun.
+            wait_until([&] { return running_at_engines(running) == 18 && count_runs(running, "order-1") == 1; }));
+        // Streaming of the answers has started by then.
         pause(100);
-        // The first engine's process, and the service's.
+        // These are the endpoint processes of the first engine and of the service.
         running.endpoints().front().kill();
         running.endpoints().back().kill();
         callers.join();
@@ -124,10 +125,10 @@
         CPPUNIT_ASSERT(broken > 0 && broken <= 6);
         CPPUNIT_ASSERT(orders.front());
         CPPUNIT_ASSERT_EQUAL(std::string("unknown"), header_of(*orders.front(), "x-shedhill-outcome"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, runs_of(running, "order-1"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, count_runs(running, "order-1"));
     }
 
-    void a_frozen_endpoint_does_not_hold_callers_for_ever()
+    void a_frozen_endpoint_does_not_block_callers()
     {
         auto shape = small_shape();
         shape.token_interval_ms = 20;
@@ -138,7 +139,7 @@
         for (std::size_t index = 0; index < 12; ++index) {
             callers.start([&, index] {
                 auto const text = "q" + std::to_string(index);
-                auto const answer = ask(running.http(0), key(index % 4), "cook", text, 30);
+                auto const answer = request_chat(running.http(0), key(index % 4), "cook", text, 30);
                 ended += (answer.is_whole && answer.text == expected_text(text, 30)) || answer.has_error_event ? 1 : 0;
             });
         }
@@ -147,11 +148,11 @@
         callers.join();
         running.endpoints().front().send_signal(SIGCONT);
         CPPUNIT_ASSERT_EQUAL(12, ended);
-        auto const after = ask(running.http(0), key(0), "cook", "after", 5);
+        auto const after = request_chat(running.http(0), key(0), "cook", "after", 5);
         CPPUNIT_ASSERT(after.is_whole);
     }
 
-    void a_planned_stop_of_router_and_endpoint_cuts_no_one_off()
+    void a_planned_stop_of_router_and_endpoint_cuts_no_request_off()
     {
         auto shape = small_shape();
         shape.routers = 2;
@@ -163,7 +164,7 @@
         for (std::size_t index = 0; index < 30; ++index) {
             callers.start([&, index] {
                 auto const text = "q" + std::to_string(index);
-                auto const answer = ask(running.http(0), key(index % 4), "cook", text, 30);
+                auto const answer = request_chat(running.http(0), key(index % 4), "cook", text, 30);
                 whole += answer.is_whole && answer.text == expected_text(text, 30) ? 1 : 0;
                 refused += answer.status == 503 ? 1 : 0;
             });
@@ -179,7 +180,7 @@
         CPPUNIT_ASSERT_EQUAL(0, code);
         CPPUNIT_ASSERT(running.endpoints().front().wait_for_end(code));
         CPPUNIT_ASSERT_EQUAL(0, code);
-        CPPUNIT_ASSERT(ask(running.http(1), key(0), "cook", "after", 5).is_whole);
+        CPPUNIT_ASSERT(request_chat(running.http(1), key(0), "cook", "after", 5).is_whole);
     }
 
     void a_killed_router_and_a_repeat_at_another_run_an_order_once()
@@ -193,14 +194,14 @@
             auto const lost = call_service(running.http(0), key(0), "/services/catalogue/orders", "clutch", "order-7");
             CPPUNIT_ASSERT(!lost);
         });
-        CPPUNIT_ASSERT(wait_until([&] { return runs_of(running, "order-7") == 1; }));
+        CPPUNIT_ASSERT(wait_until([&] { return count_runs(running, "order-7") == 1; }));
         running.routers().front().kill();
         callers.join();
         auto const again = call_service(running.http(1), key(0), "/services/catalogue/orders", "clutch", "order-7");
         CPPUNIT_ASSERT(again);
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 409 }, again->status);
         CPPUNIT_ASSERT_EQUAL(std::string("unknown"), header_of(*again, "x-shedhill-outcome"));
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, runs_of(running, "order-7"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, count_runs(running, "order-7"));
     }
 
     void orders_run_once_while_the_platform_loses_answers()
@@ -221,7 +222,7 @@
         }
         callers.join();
         for (std::size_t order = 0; order < 10; ++order)
-            CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, runs_of(running, "order-" + std::to_string(order)));
+            CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, count_runs(running, "order-" + std::to_string(order)));
     }
 
     void a_platform_that_is_down_stops_orders_only()
@@ -233,11 +234,11 @@
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 503 }, order->status);
         CPPUNIT_ASSERT_EQUAL(std::string("claim_unavailable"), header_of(*order, "x-shedhill-reason"));
         CPPUNIT_ASSERT(!header_of(*order, "retry-after").empty());
-        CPPUNIT_ASSERT(ask(running.http(0), key(0), "cook", "stew", 5).is_whole);
+        CPPUNIT_ASSERT(request_chat(running.http(0), key(0), "cook", "stew", 5).is_whole);
         CPPUNIT_ASSERT(post_json(running.platform_address(), "/control", { { "down", false } }));
         auto const again = call_service(running.http(0), key(0), "/services/catalogue/orders", "x", "order-1");
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 200 }, again.value().status);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, runs_of(running, "order-1"));
+        CPPUNIT_ASSERT_EQUAL(std::int64_t { 1 }, count_runs(running, "order-1"));
     }
 
     void a_restarted_router_serves_with_the_platform_down()
@@ -248,7 +249,7 @@
         CPPUNIT_ASSERT(post_json(running.platform_address(), "/control", { { "down", true } }));
         CPPUNIT_ASSERT(running.restart_router(1));
         CPPUNIT_ASSERT(running.wait_until_ready(1));
-        CPPUNIT_ASSERT(ask(running.http(1), key(0), "cook", "stew", 5).is_whole);
+        CPPUNIT_ASSERT(request_chat(running.http(1), key(0), "cook", "stew", 5).is_whole);
     }
 
     void a_slow_first_token_is_tried_elsewhere_and_answered_once()
@@ -256,7 +257,7 @@
         auto shape = small_shape();
         shape.router_settings = { "--first-chunk-limit-ms=500" };
         auto running = start(shape);
-        // Two of three engines take far too long before they begin.
+        // Two of the three engines exceed the limit for the first token.
         for (std::size_t slow = 0; slow < 2; ++slow) {
             CPPUNIT_ASSERT(post_json(
                 running.engines().at(slow).address("http"), "/control", { { "mode", "ok" }, { "delay_ms", 5000 } }));
@@ -267,7 +268,7 @@
         for (std::size_t index = 0; index < 8; ++index) {
             callers.start([&, index] {
                 auto const text = "q" + std::to_string(index);
-                auto const answer = ask(running.http(0), key(index % 4), "cook", text, 5);
+                auto const answer = request_chat(running.http(0), key(index % 4), "cook", text, 5);
                 auto const is_own = answer.is_whole && answer.text == expected_text(text, 5);
                 whole += is_own ? 1 : 0;
                 ended += is_own || answer.status >= 500 ? 1 : 0;
@@ -278,8 +279,8 @@
         CPPUNIT_ASSERT(whole > 0);
     }
 
-    // The answer is larger than what sockets and the router keep for a caller, and has no end in the test's time.
-    void a_caller_that_does_not_read_is_let_go()
+    // The answer is larger than the buffers of the sockets and the router, and does not end within the test.
+    void a_caller_that_does_not_read_is_disconnected()
     {
         auto shape = small_shape();
         shape.token_interval_ms = 0;
@@ -301,14 +302,14 @@
         CPPUNIT_ASSERT(wait_until([&] { return running_at_engines(running) == 0; }));
     }
 
-    void a_vanished_caller_frees_the_engine()
+    void a_caller_that_disconnects_frees_the_engine()
     {
         auto shape = small_shape();
         shape.token_interval_ms = 50;
         auto running = start(shape);
         auto const call = net::http_call::create();
         fiber_group callers;
-        callers.start([&] { ask_with(*call, running.http(0), key(0), "cook", "long", 1000); });
+        callers.start([&] { request_chat_with(*call, running.http(0), key(0), "cook", "long", 1000); });
         CPPUNIT_ASSERT(wait_until([&] { return running_at_engines(running) == 1; }));
         call->cancel();
         callers.join();
--- a/tests/processes/hosted_crash_test.cpp
+++ b/tests/processes/hosted_crash_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A request that ends whatever process runs it, before real routers and stand-ins of replicas.
+// Tests the quarantine of a request that crashes each replica which runs it, with real routers and stand-ins of
+// replicas.
 #include "tests/harness/hosted_fleet.h"
 #include "tests/harness/parallel.h"
 
@@ -11,25 +12,25 @@
     CPPUNIT_TEST_SUITE(hosted_crash_test);
     CPPUNIT_TEST(a_resumable_request_that_comes_again_ends_three_replicas_at_most);
     CPPUNIT_TEST(a_request_that_may_not_be_repeated_ends_three_replicas_at_most);
-    CPPUNIT_TEST(routers_of_other_failure_domains_hear_of_a_quarantine);
+    CPPUNIT_TEST(routers_of_other_failure_domains_receive_a_quarantine);
     CPPUNIT_TEST(a_quarantine_outlives_the_loss_of_all_routers);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t routers = 3;
     static constexpr std::size_t replicas = 8;
-    static constexpr std::size_t most_ended = 3;
-    // Each time at the next router.
-    static constexpr std::size_t returns = 8;
-    static constexpr int return_pause_ms = 400;
+    static constexpr std::size_t max_ended = 3;
+    // The request is sent this often, each time to the next router.
+    static constexpr std::size_t repeats = 8;
+    static constexpr int repeat_pause_ms = 400;
 
-    static hosted_fleet started()
+    static hosted_fleet start_fleet()
     {
         hosted_fleet_options options;
         options.routers = routers;
         options.replicas = replicas;
         auto fleet = hosted_fleet::start(options);
         CPPUNIT_ASSERT_MESSAGE(fleet ? "" : fleet.error().to_string(), fleet.has_value());
-        // Routers that do not know each other yet can tell each other nothing.
+        // Routers report crashes to each other only once they are connected.
         for (std::size_t index = 0; index < routers; ++index)
             CPPUNIT_ASSERT(wait_until([&] { return fleet->metric(index, "shedhill_other_routers") >= routers - 1; }));
         return std::move(*fleet);
@@ -43,17 +44,17 @@
         return ended;
     }
 
-    static void check_returns_of(std::string const& target)
+    static void check_repeats_of(std::string const& target)
     {
-        auto fleet = started();
-        for (std::size_t index = 0; index < returns; ++index) {
-            (void)fleet.ask(index % routers, target, "crash-" + std::to_string(index));
-            // The caller comes again after a pause.
-            pause(return_pause_ms);
+        auto fleet = start_fleet();
+        for (std::size_t index = 0; index < repeats; ++index) {
+            (void)fleet.send_request(index % routers, target, "crash-" + std::to_string(index));
+            // The caller repeats the request after a pause.
+            pause(repeat_pause_ms);
         }
-        CPPUNIT_ASSERT(ended_replicas(fleet) <= most_ended);
+        CPPUNIT_ASSERT(ended_replicas(fleet) <= max_ended);
         for (std::size_t index = 0; index < routers; ++index) {
-            auto const answer = fleet.ask(index, "/look/a", "other-" + std::to_string(index));
+            auto const answer = fleet.send_request(index, "/look/a", "other-" + std::to_string(index));
             CPPUNIT_ASSERT(answer && answer->status == 200);
         }
     }
@@ -66,36 +67,37 @@
         return stored;
     }
 
-    void routers_of_other_failure_domains_hear_of_a_quarantine()
+    void routers_of_other_failure_domains_receive_a_quarantine()
     {
-        constexpr std::size_t many = 6;
+        constexpr std::size_t router_count = 6;
         hosted_fleet_options options;
-        options.routers = many;
+        options.routers = router_count;
         options.domains = 2;
         options.replicas = replicas;
         auto fleet = hosted_fleet::start(options);
         CPPUNIT_ASSERT_MESSAGE(fleet ? "" : fleet.error().to_string(), fleet.has_value());
-        for (std::size_t index = 0; index < many; ++index)
-            CPPUNIT_ASSERT(wait_until([&] { return fleet->metric(index, "shedhill_other_routers") >= many - 1; }));
-        for (std::size_t index = 0; index < most_ended; ++index) {
-            (void)fleet->ask(0, "/look/crash/a", "crash-" + std::to_string(index));
-            pause(return_pause_ms);
+        for (std::size_t index = 0; index < router_count; ++index)
+            CPPUNIT_ASSERT(
+                wait_until([&] { return fleet->metric(index, "shedhill_other_routers") >= router_count - 1; }));
+        for (std::size_t index = 0; index < max_ended; ++index) {
+            (void)fleet->send_request(0, "/look/crash/a", "crash-" + std::to_string(index));
+            pause(repeat_pause_ms);
         }
-        for (std::size_t index = 0; index < many; ++index)
+        for (std::size_t index = 0; index < router_count; ++index)
             CPPUNIT_ASSERT(wait_until([&] { return fleet->metric(index, "shedhill_quarantined_requests") > 0; }));
         auto const ended = ended_replicas(*fleet);
-        for (std::size_t index = 0; index < many; ++index)
-            (void)fleet->ask(index, "/look/crash/a", "after-" + std::to_string(index));
+        for (std::size_t index = 0; index < router_count; ++index)
+            (void)fleet->send_request(index, "/look/crash/a", "after-" + std::to_string(index));
         CPPUNIT_ASSERT_EQUAL(ended, ended_replicas(*fleet));
     }
 
     void a_quarantine_outlives_the_loss_of_all_routers()
     {
         std::string const target = "/look/crash/a";
-        auto fleet = started();
-        for (std::size_t index = 0; index < most_ended; ++index) {
-            (void)fleet.ask(0, target, "before-" + std::to_string(index));
-            pause(return_pause_ms);
+        auto fleet = start_fleet();
+        for (std::size_t index = 0; index < max_ended; ++index) {
+            (void)fleet.send_request(0, target, "before-" + std::to_string(index));
+            pause(repeat_pause_ms);
         }
         CPPUNIT_ASSERT(wait_until([&] { return stored_quarantines(fleet) > 0; }));
         auto const ended = ended_replicas(fleet);
@@ -106,13 +108,13 @@
         for (std::size_t index = 0; index < routers; ++index) {
             CPPUNIT_ASSERT(fleet.wait_until_ready(index).has_value());
             CPPUNIT_ASSERT(wait_until([&] { return fleet.metric(index, "shedhill_quarantined_requests") > 0; }));
-            (void)fleet.ask(index, target, "after-" + std::to_string(index));
+            (void)fleet.send_request(index, target, "after-" + std::to_string(index));
         }
         CPPUNIT_ASSERT_EQUAL(ended, ended_replicas(fleet));
     }
 
-    void a_resumable_request_that_comes_again_ends_three_replicas_at_most() { check_returns_of("/stream/crash/a"); }
-    void a_request_that_may_not_be_repeated_ends_three_replicas_at_most() { check_returns_of("/order/crash/a"); }
+    void a_resumable_request_that_comes_again_ends_three_replicas_at_most() { check_repeats_of("/stream/crash/a"); }
+    void a_request_that_may_not_be_repeated_ends_three_replicas_at_most() { check_repeats_of("/order/crash/a"); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(hosted_crash_test);
--- a/tests/processes/operators_test.cpp
+++ b/tests/processes/operators_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The operators' tool as they use it, settings, bad input and strangers, on real processes.
+// Tests the operators' tool, settings, invalid input and unauthenticated peers on real processes.
 #include "tests/harness/caller.h"
 #include "tests/harness/fleet.h"
 #include "tests/harness/parallel.h"
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(a_revoked_policy_is_in_force_on_every_router);
     CPPUNIT_TEST(bad_settings_are_refused_by_name);
     CPPUNIT_TEST(bad_input_gets_a_clear_error_and_loses_nothing);
-    CPPUNIT_TEST(a_stranger_on_the_frame_port_is_turned_away);
+    CPPUNIT_TEST(an_unauthenticated_peer_on_the_frame_port_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     struct tool_result {
@@ -49,7 +49,7 @@
         return std::move(*started);
     }
 
-    // A file that is removed with the test.
+    // A temporary file with declarations, which is removed when the object is destroyed.
     class declaration_file {
     public:
         explicit declaration_file(std::string const& text)
@@ -141,7 +141,7 @@
         }
         operators.join();
         for (std::size_t index = 0; index < files.size(); ++index) {
-            // A change that was accepted is there; one that lost too many races says so.
+            // An accepted change is stored. A change that lost too many races is reported with exit code 4.
             auto const* partner = index % 2 == 0 ? "batinah" : "recetario";
             auto const is_there
                 = tool(running, { "get", std::string("team:") + partner + "/racer-" + std::to_string(index) }).code
@@ -169,10 +169,11 @@
             "teams": {"name": "team-1"}})");
         CPPUNIT_ASSERT_EQUAL(0, tool(running, { "apply", "--partner=recetario", file.path() }).code);
         auto const key = [](int index) { return fleet::key_of("recetario/team-" + std::to_string(index)); };
-        // That it takes no longer than five seconds is tested on the virtual clock.
+        // A test on the virtual clock checks that this takes at most five seconds.
         for (std::size_t router = 0; router < 3; ++router) {
-            CPPUNIT_ASSERT(wait_until([&] { return ask(running.http(router), key(0), "cook", "x", 2).status == 403; }));
-            CPPUNIT_ASSERT(ask(running.http(router), key(1), "cook", "x", 2).is_whole);
+            CPPUNIT_ASSERT(
+                wait_until([&] { return request_chat(running.http(router), key(0), "cook", "x", 2).status == 403; }));
+            CPPUNIT_ASSERT(request_chat(running.http(router), key(1), "cook", "x", 2).is_whole);
         }
     }
 
@@ -190,7 +191,7 @@
         CPPUNIT_ASSERT_EQUAL(0, run({ "--role=router", "--vm=a", "--fleet-key=0123456789abcdef", "--check-settings" }));
     }
 
-    // Sends bytes as they are and returns what comes back before the connection is closed.
+    // Sends the bytes unchanged and returns all data received until the connection is closed.
     static std::string send_raw(std::string const& address, std::string const& bytes)
     {
         boost::asio::io_context io;
@@ -218,13 +219,13 @@
                                     "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n"
                                     "content-length: 1\r\n\r\n{"),
             "not a JSON object"));
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 401 }, ask(http, "wrong key", "cook", "x", 2).status);
-        CPPUNIT_ASSERT_EQUAL(
-            std::uint16_t { 403 }, ask(http, fleet::key_of("recetario/team-0"), "no such model", "x", 2).status);
-        CPPUNIT_ASSERT(ask(http, fleet::key_of("recetario/team-0"), "cook", "x", 2).is_whole);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 401 }, request_chat(http, "wrong key", "cook", "x", 2).status);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 403 },
+            request_chat(http, fleet::key_of("recetario/team-0"), "no such model", "x", 2).status);
+        CPPUNIT_ASSERT(request_chat(http, fleet::key_of("recetario/team-0"), "cook", "x", 2).is_whole);
     }
 
-    void a_stranger_on_the_frame_port_is_turned_away()
+    void an_unauthenticated_peer_on_the_frame_port_is_rejected()
     {
         auto running = start();
         auto& endpoint = running.endpoints().front();
@@ -233,7 +234,7 @@
         send_raw(endpoint.address("frames"), "GET / HTTP/1.1\r\n\r\n");
         auto const counters = running.metrics(endpoint).value();
         CPPUNIT_ASSERT_EQUAL(3.0, counters.at("shedhill_strangers_refused_total"));
-        CPPUNIT_ASSERT(ask(running.http(0), fleet::key_of("recetario/team-0"), "cook", "x", 2).is_whole);
+        CPPUNIT_ASSERT(request_chat(running.http(0), fleet::key_of("recetario/team-0"), "cook", "x", 2).is_whole);
     }
 };
 
--- a/tests/processes/soak_test.cpp
+++ b/tests/processes/soak_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A short soak with fixed seeds; shedhill-soak plays many. Seeds that ever failed stay here, with a line on the cause.
+// Runs short soaks with fixed seeds; shedhill-soak runs many seeds. Seeds that have failed stay here with their cause.
 #include "tests/soak/soak_run.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,29 +9,29 @@
 class soak_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(soak_test);
     CPPUNIT_TEST(the_same_seed_draws_the_same_plan);
-    CPPUNIT_TEST(planned_work_loses_nothing);
-    CPPUNIT_TEST(promises_hold_while_everything_fails);
+    CPPUNIT_TEST(planned_work_loses_no_request);
+    CPPUNIT_TEST(guarantees_hold_under_all_faults);
     CPPUNIT_TEST(a_delayed_link_does_not_silence_a_router);
-    CPPUNIT_TEST(promises_hold_with_sums_between_failure_domains);
+    CPPUNIT_TEST(guarantees_hold_with_sums_between_failure_domains);
     CPPUNIT_TEST_SUITE_END();
 
-    static void play(std::uint64_t seed, plan_scope scope, milliseconds lasts = milliseconds(4000),
+    static void run_seed(std::uint64_t seed, plan_scope scope, milliseconds duration = milliseconds(4000),
         std::size_t routers = 3, std::size_t domains = 1)
     {
         soak_options options;
         options.routers = routers;
         options.domains = domains;
-        options.plan = { seed, lasts, scope };
+        options.plan = { seed, duration, scope };
         options.callers = 8;
         options.log_folder = std::filesystem::temp_directory_path()
             / ("shedhill-soak-test-" + std::to_string(getpid()) + "-" + std::to_string(seed));
-        auto const verdict = play_soak(options);
-        CPPUNIT_ASSERT_MESSAGE(verdict ? "" : verdict.error().to_string(), verdict.has_value());
+        auto const run_result = run_soak(options);
+        CPPUNIT_ASSERT_MESSAGE(run_result ? "" : run_result.error().to_string(), run_result.has_value());
         std::string all;
-        for (auto const& line : verdict->broken)
+        for (auto const& line : run_result->violations)
             all += line + "\n";
         CPPUNIT_ASSERT_EQUAL_MESSAGE("logs: " + options.log_folder.string(), std::string(), all);
-        CPPUNIT_ASSERT(verdict->requests > 0);
+        CPPUNIT_ASSERT(run_result->requests > 0);
         std::filesystem::remove_all(options.log_folder);
     }
 
@@ -47,18 +47,18 @@
         }
     }
 
-    void planned_work_loses_nothing() { play(3, plan_scope::planned_only); }
+    void planned_work_loses_no_request() { run_seed(3, plan_scope::planned_only); }
 
-    void promises_hold_while_everything_fails() { play(1, plan_scope::everything); }
+    void guarantees_hold_under_all_faults() { run_seed(1, plan_scope::everything); }
 
-    // Seed 7031: late answers of a plain service taught a router a time over the objective, and it refused everything
-    // from then on.
-    void a_delayed_link_does_not_silence_a_router() { play(7031, plan_scope::everything, milliseconds(8000)); }
+    // Seed 7031: delayed answers of a plain service made a router's time estimate exceed the objective, and the router
+    // refused all later requests.
+    void a_delayed_link_does_not_silence_a_router() { run_seed(7031, plan_scope::everything, milliseconds(8000)); }
 
-    // Five routers in two failure domains: three in one, of which two follow the store.
-    void promises_hold_with_sums_between_failure_domains()
+    // Five routers are in two failure domains: three in one domain, of which two watch the store.
+    void guarantees_hold_with_sums_between_failure_domains()
     {
-        play(2, plan_scope::everything, milliseconds(5000), 5, 2);
+        run_seed(2, plan_scope::everything, milliseconds(5000), 5, 2);
     }
 };
 
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The faults of one soak run, drawn from a seed: series of one kind, which start at any moment and overlap.
+// Draws the faults of one soak run from a seed. Faults come in series of one kind; series start at random times and may
+// overlap.
 #pragma once
 
 #include "base/units.h"
@@ -11,44 +12,46 @@
 namespace shedhill::soak {
 
 enum class fault_kind {
-    // Planned work.
+    // Maintenance that an operator or the platform does on purpose.
     router_stop,
     router_reload,
     replica_drain,
     configuration_change,
-    // Signals.
+    // Signals sent to processes.
     router_kill,
     router_pause,
     all_routers_kill,
     replica_kill,
     replica_pause,
     store_pause,
-    // How replicas behave.
+    // Faulty behaviour of replicas: they reject, cut answers off, never answer, or answer with errors.
     replica_busy,
     replica_cuts,
     replica_mute,
     replica_fails,
-    // Links, by proxies.
+    // Faults of links, made by proxies.
     replica_link,
     store_link,
-    // The store itself.
+    // Faults of the store: it is down, loses its feed history, loses its answers, or its endpoint entries expire.
     store_down,
     store_forgets,
     store_loses_answers,
     entries_lapse,
-    // Drawn beside the ones above, so that an older seed still draws what it drew.
+    // The kinds from here on have generators of their own, so that a seed still draws the same faults of the kinds
+    // above.
     evacuation,
     connections_silent,
-    // Replicas that turn all away and ask for rest; one that says in its answers that it leaves.
+    // Replicas that reject all requests and ask for back-off, and a replica that announces in its answers that it
+    // leaves.
     replica_rests,
     replica_leaves,
-    // A request that ends each replica that runs it comes again and again.
+    // A request that crashes each replica that runs it is sent repeatedly.
     harmful_request,
     count,
 };
 
 std::string_view name_of(fault_kind kind);
-// Whether an operator or the platform does it on purpose, so that no request may be lost by it.
+// Tells whether the fault is planned maintenance, which must not lose any request.
 constexpr bool is_planned(fault_kind kind)
 {
     return kind <= fault_kind::configuration_change || kind == fault_kind::evacuation
@@ -56,11 +59,12 @@
 }
 
 struct planned_fault {
+    // Time since the start of the run.
     milliseconds at { 0 };
     fault_kind kind { fault_kind::router_kill };
-    // Chooses the router or replica that it strikes, and the kind of a link's fault.
+    // A random number that selects the affected router or replica, and the fault of a link.
     std::uint64_t draw { 0 };
-    milliseconds lasts { 0 };
+    milliseconds duration { 0 };
 };
 
 enum class plan_scope {
@@ -74,7 +78,7 @@
     plan_scope scope { plan_scope::everything };
 };
 
-// In order of time. The same options give the same plan.
+// Returns the faults sorted by time. The same options give the same plan.
 std::vector<planned_fault> draw_plan(plan_options const& options);
 
 } // namespace shedhill::soak
--- a/tests/soak/soak_caller.cpp
+++ b/tests/soak/soak_caller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Requests over one kept connection, by Boost.Beast.
+// Sends requests over one persistent connection with Boost.Beast.
 #include "tests/soak/soak_caller.h"
 
 #include "libraries/net/address.h"
@@ -20,29 +20,30 @@
 namespace http = beast::http;
 using net::await_io;
 
-constexpr std::chrono::milliseconds connect_limit { 1000 };
-constexpr std::chrono::milliseconds pause_between_tries { 20 };
-// No final answer may take longer: the deadline, and much for a busy machine and for routers that were paused.
-constexpr std::chrono::milliseconds answer_limit { 30000 };
+constexpr std::chrono::milliseconds connect_timeout { 1000 };
+constexpr std::chrono::milliseconds retry_pause { 20 };
+// Longest time until a final answer: the request's deadline plus a wide margin for a busy machine and paused routers.
+constexpr std::chrono::milliseconds answer_timeout { 30000 };
 constexpr char const* deadline_ms = "6000";
-constexpr std::size_t one_leaves_in = 20;
-constexpr std::size_t leaving_spread_ms = 40;
+// The caller abandons one in this many requests before the answer.
+constexpr std::size_t requests_per_abandoned_request = 20;
+constexpr std::size_t abandon_spread_ms = 40;
 constexpr std::size_t pause_spread_ms = 30;
-constexpr std::size_t forms = 4;
-constexpr std::size_t piece_size = 4096;
+constexpr std::size_t request_forms = 4;
+constexpr std::size_t chunk_size = 4096;
 
-http::request<http::string_body> make_message(caller_request const& asked)
+http::request<http::string_body> make_message(caller_request const& request)
 {
     http::request<http::string_body> message;
-    message.method_string(method_of(asked.form));
-    message.target(target_of(asked.form));
+    message.method_string(method_of(request.form));
+    message.target(target_of(request.form));
     message.version(11);
     message.set(http::field::host, "shop.example");
-    message.set("Shedhill-Request-Id", asked.id);
+    message.set("Shedhill-Request-Id", request.id);
     message.set("Shedhill-Deadline-Ms", deadline_ms);
     message.set(http::field::authorization, "Bearer key-1");
-    if (asked.form != request_form::look)
-        message.body() = "order of " + asked.id;
+    if (request.form != request_form::look)
+        message.body() = "order of " + request.id;
     message.prepare_payload();
     return message;
 }
@@ -61,10 +62,10 @@
 {
     while (!is_over) {
         if (!m_stream && !connect()) {
-            boost::this_fiber::sleep_for(pause_between_tries);
+            boost::this_fiber::sleep_for(retry_pause);
             continue;
         }
-        ask_once();
+        send_request();
         boost::this_fiber::sleep_for(std::chrono::milliseconds(m_draw.next_below(pause_spread_ms)));
     }
 }
@@ -77,60 +78,60 @@
     auto const address = net::parse_address(m_fleet.router(m_router).address("callers"));
     if (!address)
         return false;
-    auto made = std::make_unique<beast::tcp_stream>(net::process_io_context());
-    made->expires_after(connect_limit);
-    if (await_io([&](auto handler) { made->async_connect(*address, std::move(handler)); }).failure)
+    auto stream = std::make_unique<beast::tcp_stream>(net::process_io_context());
+    stream->expires_after(connect_timeout);
+    if (await_io([&](auto handler) { stream->async_connect(*address, std::move(handler)); }).failure)
         return false;
-    m_stream = std::move(made);
+    m_stream = std::move(stream);
     return true;
 }
 
-void soak_caller::ask_once()
+void soak_caller::send_request()
 {
-    caller_request asked;
-    asked.id = m_name + "-" + std::to_string(++m_asked);
-    asked.form = static_cast<request_form>(m_draw.next_below(forms));
-    asked.router = m_router;
-    asked.asked_at = soak_clock::now();
-    exchange(asked);
-    asked.ended_at = soak_clock::now();
-    m_record.requests.push_back(std::move(asked));
+    caller_request request;
+    request.id = m_name + "-" + std::to_string(++m_sent_requests);
+    request.form = static_cast<request_form>(m_draw.next_below(request_forms));
+    request.router = m_router;
+    request.sent_at = soak_clock::now();
+    exchange(request);
+    request.ended_at = soak_clock::now();
+    m_record.requests.push_back(std::move(request));
 }
 
-void soak_caller::exchange(caller_request& asked)
+void soak_caller::exchange(caller_request& request)
 {
-    bool const is_leaving = m_draw.next_below(one_leaves_in) == 0;
+    bool const is_abandoned = m_draw.next_below(requests_per_abandoned_request) == 0;
     m_stream->expires_after(
-        is_leaving ? std::chrono::milliseconds(1 + m_draw.next_below(leaving_spread_ms)) : answer_limit);
-    auto const message = make_message(asked);
-    auto const end_at = [&](boost::system::error_code failure, caller_end end) {
+        is_abandoned ? std::chrono::milliseconds(1 + m_draw.next_below(abandon_spread_ms)) : answer_timeout);
+    auto const message = make_message(request);
+    auto const end_with = [&](boost::system::error_code failure, caller_end end) {
         if (failure == beast::error::timeout)
-            end = is_leaving ? caller_end::left : caller_end::unanswered;
-        asked.end = end;
+            end = is_abandoned ? caller_end::left : caller_end::unanswered;
+        request.end = end;
         m_stream.reset();
     };
     auto outcome = await_io([&](auto handler) { http::async_write(*m_stream, message, std::move(handler)); });
     if (outcome.failure)
-        return end_at(outcome.failure, caller_end::closed);
+        return end_with(outcome.failure, caller_end::closed);
     beast::flat_buffer buffer;
     http::response_parser<http::buffer_body> parser;
     parser.body_limit(boost::none);
     outcome = await_io([&](auto handler) { http::async_read_header(*m_stream, buffer, parser, std::move(handler)); });
     if (outcome.failure)
-        return end_at(outcome.failure, buffer.size() == 0 ? caller_end::closed : caller_end::broken);
-    asked.status = parser.get().result_int();
-    asked.answered_id = std::string(parser.get()["Shedhill-Request-Id"]);
-    asked.signature = std::string(parser.get()["Shedhill-Server-Signature"]);
-    std::array<char, piece_size> piece {};
+        return end_with(outcome.failure, buffer.size() == 0 ? caller_end::closed : caller_end::broken);
+    request.status = parser.get().result_int();
+    request.answered_id = std::string(parser.get()["Shedhill-Request-Id"]);
+    request.signature = std::string(parser.get()["Shedhill-Server-Signature"]);
+    std::array<char, chunk_size> chunk {};
     while (!parser.is_done()) {
-        parser.get().body().data = piece.data();
-        parser.get().body().size = piece.size();
+        parser.get().body().data = chunk.data();
+        parser.get().body().size = chunk.size();
         outcome = await_io([&](auto handler) { http::async_read_some(*m_stream, buffer, parser, std::move(handler)); });
         if (outcome.failure && outcome.failure != http::error::need_buffer)
-            return end_at(outcome.failure, caller_end::broken);
-        asked.body.append(piece.data(), piece.size() - parser.get().body().size);
+            return end_with(outcome.failure, caller_end::broken);
+        request.body.append(chunk.data(), chunk.size() - parser.get().body().size);
     }
-    asked.end = caller_end::whole;
+    request.end = caller_end::whole;
     if (!parser.get().keep_alive())
         m_stream.reset();
 }
--- a/tests/soak/soak_caller.h
+++ b/tests/soak/soak_caller.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A caller that keeps its connection open and goes on using it until the router's process is gone, then goes to
-// another router.
+// A caller of a soak run. It keeps its connection open and uses it until the router's process has ended, and then
+// connects to a randomly chosen router.
 #pragma once
 
 #include "base/random_generator.h"
@@ -16,20 +16,22 @@
 public:
     soak_caller(harness::hosted_fleet& fleet, soak_record& record, std::string name, std::uint64_t seed);
 
-    // Asks one request after another until told to end.
+    // Sends one request after another until is_over becomes true.
     void run(bool const& is_over);
 
 private:
+    // Connects to a random router. Returns false if the router is not running or does not accept the connection.
     bool connect();
-    void ask_once();
-    // Sends the request and takes the answer in; fills how it ended.
-    void exchange(caller_request& asked);
+    // Sends one request of a random form and records it.
+    void send_request();
+    // Sends the request, reads the answer and fills in its outcome.
+    void exchange(caller_request& request);
 
     harness::hosted_fleet& m_fleet;
     soak_record& m_record;
     std::string m_name;
     random_generator m_draw;
-    std::uint64_t m_asked { 0 };
+    std::uint64_t m_sent_requests { 0 };
     std::size_t m_router { 0 };
     std::unique_ptr<boost::beast::tcp_stream> m_stream;
 };
--- a/tests/soak/soak_record.cpp
+++ b/tests/soak/soak_record.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The promises, one function each.
+// Checks the guarantees, with one function for each.
 #include "tests/soak/soak_record.h"
 
-#include "tests/soak/crash_promises.h"
-#include "tests/soak/notice_promises.h"
+#include "tests/soak/crash_checks.h"
+#include "tests/soak/notice_checks.h"
 
 #include <algorithm>
 #include <iterator>
@@ -13,21 +13,22 @@
 
 namespace {
 
-constexpr int events_of_a_stream = 10;
-constexpr std::uint32_t most_attempts = 2;
-constexpr unsigned status_good = 200;
-// A connection that is closed while a request is on its way to it, before it was read, loses nothing.
-constexpr milliseconds failure_margin { 500 };
+constexpr int events_per_stream = 10;
+constexpr std::uint32_t max_attempts = 2;
+constexpr unsigned status_ok = 200;
+// A fault also excuses requests that ended this long before it or began this long after it, since a connection may
+// close while a request is in flight on it.
+constexpr milliseconds close_margin { 500 };
 
 using findings = std::vector<std::string>;
 
-bool is_promise_of_not_run(unsigned status) { return status == 429 || status == 503 || status == 408 || status == 421; }
+bool is_not_run_status(unsigned status) { return status == 429 || status == 503 || status == 408 || status == 421; }
 
-replica_record const& seen_by_replicas(soak_record const& record, std::string const& id)
+request_executions const& executions_of(soak_record const& record, std::string const& id)
 {
-    static replica_record const none;
-    auto const found = record.replicas.find(id);
-    return found == record.replicas.end() ? none : found->second;
+    static request_executions const none;
+    auto const found = record.executions.find(id);
+    return found == record.executions.end() ? none : found->second;
 }
 
 std::string expected_body(caller_request const& request)
@@ -37,89 +38,91 @@
     if (request.form == request_form::look)
         return "team=kitchen key= body=";
     std::string whole;
-    for (int number = 1; number <= events_of_a_stream; ++number)
+    for (int number = 1; number <= events_per_stream; ++number)
         whole += "id: " + std::to_string(number) + "\ndata: " + request.id + "\n\n";
     return whole;
 }
 
-void check_answer(caller_request const& request, findings& broken)
+void check_answer(caller_request const& request, findings& violations)
 {
     if (request.end == caller_end::unanswered)
-        broken.push_back(request.id + " got no final answer");
+        violations.push_back(request.id + " got no final answer");
     if (request.end != caller_end::whole)
         return;
     if (request.status == 401 || request.status == 404 || request.status == 400)
-        broken.push_back(request.id + " was denied with " + std::to_string(request.status));
-    if (request.status != status_good)
+        violations.push_back(request.id + " was denied with status " + std::to_string(request.status));
+    if (request.status != status_ok)
         return;
     if (request.answered_id != request.id)
-        broken.push_back(request.id + " got the answer to " + request.answered_id);
+        violations.push_back(request.id + " got the answer to " + request.answered_id);
     if (request.signature.empty())
-        broken.push_back(request.id + " got a success that is no replica's");
+        violations.push_back(request.id + " got status 200 without a replica's signature");
     if (request.body != expected_body(request))
-        broken.push_back(request.id + " got another body: " + request.body);
+        violations.push_back(request.id + " got an unexpected body: " + request.body);
 }
 
-void check_runs(caller_request const& request, replica_record const& seen, findings& broken)
+void check_runs(caller_request const& request, request_executions const& executions, findings& violations)
 {
-    auto const most = may_repeat(request.form) ? most_attempts : 1;
-    if (seen.runs > most)
-        broken.push_back(request.id + " ran " + std::to_string(seen.runs) + " times");
-    bool const is_told = request.end == caller_end::whole && is_promise_of_not_run(request.status);
-    if (is_told && !may_repeat(request.form) && seen.runs > 0)
-        broken.push_back(request.id + " was called not run with " + std::to_string(request.status) + " and has run");
-    if (request.end == caller_end::whole && request.status == status_good && seen.runs == 0)
-        broken.push_back(request.id + " succeeded and ran nowhere");
+    auto const max_runs = may_repeat(request.form) ? max_attempts : 1;
+    if (executions.runs > max_runs)
+        violations.push_back(request.id + " ran " + std::to_string(executions.runs) + " times");
+    bool const is_reported_not_run = request.end == caller_end::whole && is_not_run_status(request.status);
+    if (is_reported_not_run && !may_repeat(request.form) && executions.runs > 0)
+        violations.push_back(
+            request.id + " was reported as not run with status " + std::to_string(request.status) + " but has run");
+    if (request.end == caller_end::whole && request.status == status_ok && executions.runs == 0)
+        violations.push_back(request.id + " succeeded but ran at no replica");
 }
 
-bool has_failure_beside(soak_record const& record, caller_request const& request)
+bool overlaps_failure(soak_record const& record, caller_request const& request)
 {
     return std::ranges::any_of(record.failures, [&](failure_span const& span) {
-        return span.from - failure_margin <= request.ended_at && request.asked_at <= span.to + failure_margin;
+        return span.from - close_margin <= request.ended_at && request.sent_at <= span.to + close_margin;
     });
 }
 
-// Planned work cuts no request off.
-void check_loss(soak_record const& record, caller_request const& request, replica_record const& seen, findings& broken)
+// Checks that no request is cut off outside the recorded failures. Planned maintenance must not cut off any.
+void check_loss(soak_record const& record, caller_request const& request, request_executions const& executions,
+    findings& violations)
 {
     bool const is_cut = request.end == caller_end::broken || request.end == caller_end::closed;
-    if (!is_cut || has_failure_beside(record, request))
+    if (!is_cut || overlaps_failure(record, request))
         return;
-    if (request.end == caller_end::broken || seen.arrivals > 0)
-        broken.push_back(request.id + " was cut off though nothing had failed");
+    if (request.end == caller_end::broken || executions.arrivals > 0)
+        violations.push_back(request.id + " was cut off outside any period of failure");
 }
 
-void check_replicas(soak_record const& record, findings& broken)
+void check_replicas(soak_record const& record, findings& violations)
 {
-    std::map<std::string, caller_request const*> asked;
+    std::map<std::string, caller_request const*> sent;
     for (auto const& request : record.requests)
-        asked.emplace(request.id, &request);
+        sent.emplace(request.id, &request);
     std::set<std::string> harmful;
-    for (auto const& request : record.harmful)
+    for (auto const& request : record.harmful_requests)
         harmful.insert(request.id);
-    for (auto const& [id, seen] : record.replicas) {
+    for (auto const& [id, executions] : record.executions) {
         if (id.starts_with("probe-") || harmful.contains(id))
             continue;
-        auto const found = asked.find(id);
-        if (found == asked.end()) {
-            broken.push_back(id + " was run and never asked");
+        auto const found = sent.find(id);
+        if (found == sent.end()) {
+            violations.push_back(id + " reached a replica but no caller sent it");
             continue;
         }
         auto const form = found->second->form;
-        if (seen.method != method_of(form) || seen.target != target_of(form))
-            broken.push_back(id + " came to a replica as " + seen.method + " " + seen.target);
+        if (executions.method != method_of(form) || executions.target != target_of(form))
+            violations.push_back(id + " reached a replica as " + executions.method + " " + executions.target);
     }
 }
 
-void check_revisions(soak_record const& record, findings& broken)
+void check_revisions(soak_record const& record, findings& violations)
 {
-    std::map<std::pair<std::size_t, std::uint64_t>, std::uint64_t> newest;
-    for (auto const& seen : record.revisions) {
-        auto& known = newest[{ seen.router, seen.life }];
-        if (seen.revision < known)
-            broken.push_back("router " + std::to_string(seen.router) + " went back from revision "
-                + std::to_string(known) + " to " + std::to_string(seen.revision));
-        known = std::max(known, seen.revision);
+    std::map<std::pair<std::size_t, std::uint64_t>, std::uint64_t> newest_revisions;
+    for (auto const& observed : record.revisions) {
+        auto& newest_revision = newest_revisions[{ observed.router, observed.instance }];
+        if (observed.revision < newest_revision)
+            violations.push_back("router " + std::to_string(observed.router) + " went back from revision "
+                + std::to_string(newest_revision) + " to " + std::to_string(observed.revision));
+        newest_revision = std::max(newest_revision, observed.revision);
     }
 }
 
@@ -144,20 +147,20 @@
 
 bool may_repeat(request_form form) { return form == request_form::look || form == request_form::stream; }
 
-std::vector<std::string> find_broken_promises(soak_record const& record)
+std::vector<std::string> find_violations(soak_record const& record)
 {
-    findings broken = record.findings;
+    findings violations = record.findings;
     for (auto const& request : record.requests) {
-        auto const& seen = seen_by_replicas(record, request.id);
-        check_answer(request, broken);
-        check_runs(request, seen, broken);
-        check_loss(record, request, seen, broken);
+        auto const& executions = executions_of(record, request.id);
+        check_answer(request, violations);
+        check_runs(request, executions, violations);
+        check_loss(record, request, executions, violations);
     }
-    check_replicas(record, broken);
-    check_revisions(record, broken);
-    std::ranges::copy(find_broken_notices(record), std::back_inserter(broken));
-    std::ranges::copy(find_broken_crash_bounds(record), std::back_inserter(broken));
-    return broken;
+    check_replicas(record, violations);
+    check_revisions(record, violations);
+    std::ranges::copy(find_notice_violations(record), std::back_inserter(violations));
+    std::ranges::copy(find_crash_violations(record), std::back_inserter(violations));
+    return violations;
 }
 
 } // namespace shedhill::soak
--- a/tests/soak/soak_record.h
+++ b/tests/soak/soak_record.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// What callers and replicas saw in a soak run, and the promises that this is checked against.
+// Records what callers and replicas observed in a soak run, and checks it against the guarantees.
 #pragma once
 
 #include "base/units.h"
@@ -15,25 +15,25 @@
 using soak_clock = std::chrono::steady_clock;
 
 enum class request_form {
-    // May run once at the most.
+    // A request that may run at most once.
     order,
-    // May be repeated.
+    // A request that may be repeated.
     look,
-    // A stream that may be resumed, and one that may not.
+    // A stream that may be resumed, and one that may not be.
     stream,
     stream_once,
 };
 
-// How a request ended for its caller.
+// The outcome of a request for its caller.
 enum class caller_end {
     whole,
-    // The connection ended in the middle of the answer.
+    // The connection ended within the answer.
     broken,
-    // The connection ended before the answer's first byte.
+    // The connection ended before the first byte of the answer.
     closed,
-    // The caller went away.
+    // The caller abandoned the request.
     left,
-    // The caller waited longer than any answer may take.
+    // No final answer arrived within the longest time that an answer may take.
     unanswered,
 };
 
@@ -41,7 +41,7 @@
     std::string id;
     request_form form { request_form::look };
     std::size_t router { 0 };
-    soak_clock::time_point asked_at;
+    soak_clock::time_point sent_at;
     soak_clock::time_point ended_at;
     caller_end end { caller_end::whole };
     unsigned status { 0 };
@@ -50,48 +50,49 @@
     std::string body;
 };
 
-// An answer on a route that only one revision has: which revision a router has in force.
-struct revision_seen {
+// The revision that a router had in force, known from an answer on a route that only this revision has.
+struct observed_revision {
     std::size_t router { 0 };
-    // Counts the starts of the router.
-    std::uint64_t life { 0 };
+    // Number of the router's process, counted from 1 for the first start.
+    std::uint64_t instance { 0 };
     std::uint64_t revision { 0 };
 };
 
-// What replicas wrote down of one request.
-struct replica_record {
+// What the replicas recorded about one request.
+struct request_executions {
     std::uint32_t arrivals { 0 };
     std::uint32_t runs { 0 };
     std::string method;
     std::string target;
 };
 
-// A span of time in which callers may lose requests, since something had failed.
+// A period in which callers may lose requests because of a fault.
 struct failure_span {
     soak_clock::time_point from;
     soak_clock::time_point to;
 };
 
-// What a replica wrote down: an arrival, or an answer that told something of the replica.
+// An event that a replica recorded: an arrival, a crash, or an answer with a notice about the replica.
 struct replica_event {
     std::string incarnation;
-    // Of the request that arrived, or was answered.
+    // The id of the request that arrived or was answered.
     std::string id;
     soak_clock::time_point at;
 };
 
-// A router was stopped, killed or paused: what it had been told is gone, or was read late.
-struct router_trouble {
+// A period in which a router was stopped, killed or paused, so that it lost notices or processed them late.
+struct router_disruption {
     std::size_t router { 0 };
     failure_span span;
 };
 
-struct link_trouble {
+// A period in which a fault affected the link of a replica.
+struct link_disruption {
     std::size_t replica { 0 };
     failure_span span;
 };
 
-// A request that ends whatever replica runs it, each time it is sent.
+// One sending of a request that crashes each replica that runs it.
 struct harmful_request {
     std::string id;
     std::string target;
@@ -100,30 +101,31 @@
 
 struct soak_record {
     std::vector<caller_request> requests;
-    // In the order in which each router's answers came.
-    std::vector<revision_seen> revisions;
-    std::map<std::string, replica_record> replicas;
+    // Ordered by arrival for each router.
+    std::vector<observed_revision> revisions;
+    // By request id.
+    std::map<std::string, request_executions> executions;
     std::vector<failure_span> failures;
-    std::vector<router_trouble> router_troubles;
-    std::vector<link_trouble> link_troubles;
+    std::vector<router_disruption> router_disruptions;
+    std::vector<link_disruption> link_disruptions;
     std::vector<replica_event> arrivals;
-    // Answers that asked for rest, and answers that said that the replica leaves.
-    std::vector<replica_event> rests;
+    // Answers that asked for back-off, and answers that announced that the replica leaves.
+    std::vector<replica_event> backoffs;
     std::vector<replica_event> leavings;
-    std::vector<harmful_request> harmful;
-    // Ends of replicas under harmful requests.
+    std::vector<harmful_request> harmful_requests;
+    // Crashes of replicas by harmful requests.
     std::vector<replica_event> crashes;
-    // Found while the run went on, such as a process that ended by itself.
+    // Violations found during the run, such as a process that ended by itself.
     std::vector<std::string> findings;
 };
 
-// Method and target of a request, by its form.
+// The HTTP method and target of a request of this form.
 std::string method_of(request_form form);
 std::string target_of(request_form form);
-// Whether the request may run more than once.
+// Tells whether a request of this form may run more than once.
 bool may_repeat(request_form form);
 
-// One line for each promise that was broken.
-std::vector<std::string> find_broken_promises(soak_record const& record);
+// Returns one line for each violated guarantee.
+std::vector<std::string> find_violations(soak_record const& record);
 
 } // namespace shedhill::soak
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The course of a run, and what is looked at in it. What strikes stands in soak_faults.cpp.
+// Controls a soak run and collects its observations. The faults are in soak_faults.cpp.
 #include "tests/soak/soak_run.h"
 
 #include "tests/soak/soak_caller.h"
@@ -12,12 +12,13 @@
 
 namespace {
 
-// Far below what the callers send to a warm replica.
+// Requests a second that a cold replica sustains; callers send far more to a warm one.
 constexpr int cold_per_second = 12;
-// An evacuation is in force everywhere within this time.
-constexpr int evacuation_ms = 3000;
-constexpr std::chrono::milliseconds probe_limit { 3000 };
+// An evacuation is in force at all routers within this time.
+constexpr int evacuation_propagation_ms = 3000;
+constexpr std::chrono::milliseconds probe_timeout { 3000 };
 constexpr int probe_pause_ms = 40;
+// Probes ask for the routes of the newest revision and of those before it, this many in all.
 constexpr std::uint64_t revisions_probed = 3;
 
 char const* name_of(caller_end end)
@@ -60,7 +61,7 @@
 {
 }
 
-soak_record soak_run::play()
+soak_record soak_run::execute()
 {
     harness::fiber_group background;
     background.start([this] { watch_processes(); });
@@ -79,14 +80,14 @@
         for (auto const& fault : draw_plan(m_options.plan)) {
             faults.start([this, fault] {
                 harness::pause(to_int(fault.at));
-                strike(fault);
+                inject_fault(fault);
             });
         }
     }
-    auto const played = std::chrono::duration_cast<milliseconds>(soak_clock::now() - started);
-    if (played < m_options.plan.run_for)
-        harness::pause(to_int(m_options.plan.run_for - played));
-    heal_and_wait();
+    auto const elapsed = std::chrono::duration_cast<milliseconds>(soak_clock::now() - started);
+    if (elapsed < m_options.plan.run_for)
+        harness::pause(to_int(m_options.plan.run_for - elapsed));
+    wait_for_recovery();
     check_evacuation();
     m_is_over = true;
     background.join();
@@ -111,14 +112,14 @@
 {
     std::string const domain = harness::hosted_fleet::domain_of_replica(0);
     m_fleet.evacuate(domain);
-    harness::pause(evacuation_ms);
+    harness::pause(evacuation_propagation_ms);
     auto const before = arrivals_in(domain);
-    harness::pause(evacuation_ms / 2);
+    harness::pause(evacuation_propagation_ms / 2);
     if (auto const after = arrivals_in(domain); after != before)
         m_record.findings.push_back(std::to_string(after - before) + " requests reached an evacuated failure domain");
-    m_fleet.give_back(domain);
+    m_fleet.end_evacuation(domain);
     if (!harness::wait_until([&] { return arrivals_in(domain) > before; }))
-        m_record.findings.emplace_back("a failure domain that was given back gets nothing");
+        m_record.findings.emplace_back("a failure domain receives no requests after its evacuation has ended");
 }
 
 void soak_run::watch_processes()
@@ -130,21 +131,21 @@
             m_record.findings.push_back("router " + std::to_string(index) + " ended by itself");
             stop_router(index, SIGKILL);
         }
-        harness::pause(poll_ms);
+        harness::pause(poll_interval_ms);
     }
 }
 
 void soak_run::watch_replicas()
 {
-    harness::fiber_group revived;
+    harness::fiber_group restarts;
     while (!m_is_over) {
         for (std::size_t index = 0; index < m_options.replicas; ++index) {
             if (m_replicas.at(index).has_owner || !m_fleet.replica(index).has_ended())
                 continue;
             m_replicas.at(index).has_owner = true;
-            revived.start([this, index] { revive_replica(index); });
+            restarts.start([this, index] { restart_crashed_replica(index); });
         }
-        harness::pause(poll_ms);
+        harness::pause(poll_interval_ms);
     }
 }
 
@@ -153,28 +154,28 @@
     std::uint64_t number = 0;
     while (!m_is_over) {
         harness::pause(probe_pause_ms);
-        auto const life = m_routers.at(router).life;
+        auto const instance = m_routers.at(router).instance;
         if (m_routers.at(router).has_owner || m_revision == 1)
             continue;
-        auto const back = ++number % revisions_probed;
-        if (m_revision < 2 + back)
+        auto const revisions_back = ++number % revisions_probed;
+        if (m_revision < 2 + revisions_back)
             continue;
-        auto const revision = m_revision - back;
+        auto const revision = m_revision - revisions_back;
         net::http_request const request { "GET", revision_prefix(revision),
             { { "Host", "shop.example" }, { "Authorization", "Bearer key-1" }, { "Shedhill-Deadline-Ms", "2000" },
                 { "Shedhill-Request-Id", "probe-" + std::to_string(router) + "-" + std::to_string(number) } },
             {} };
-        auto const answer = net::fetch(m_fleet.router(router).address("callers"), request, probe_limit);
-        if (answer && answer->status == 200 && life == m_routers.at(router).life)
-            m_record.revisions.push_back({ router, life, revision });
+        auto const answer = net::fetch(m_fleet.router(router).address("callers"), request, probe_timeout);
+        if (answer && answer->status == 200 && instance == m_routers.at(router).instance)
+            m_record.revisions.push_back({ router, instance, revision });
     }
 }
 
-void soak_run::heal_and_wait()
+void soak_run::wait_for_recovery()
 {
-    auto const owned = [](process_state const& state) { return state.has_owner; };
-    if (!harness::wait_until([&] { return std::ranges::none_of(m_routers, owned); }))
-        m_record.findings.emplace_back("a router that was stopped does not end");
+    auto const is_owned = [](process_state const& state) { return state.has_owner; };
+    if (!harness::wait_until([&] { return std::ranges::none_of(m_routers, is_owned); }))
+        m_record.findings.emplace_back("a stopped router does not end");
     for (std::size_t router = 0; router < m_options.routers; ++router) {
         auto const name = "router " + std::to_string(router);
         if (!m_fleet.wait_until_ready(router)) {
@@ -187,7 +188,7 @@
             bool const is_served = harness::wait_until([&] {
                 auto const id
                     = "probe-last-" + std::to_string(router) + "-" + target_of(form) + std::to_string(++tries);
-                auto const answer = m_fleet.ask(router, target_of(form), id);
+                auto const answer = m_fleet.send_request(router, target_of(form), id);
                 return answer && answer->status == 200;
             });
             if (!is_served)
@@ -208,38 +209,38 @@
         std::int64_t at_ms = 0;
         while (file >> event >> id >> method >> target >> incarnation >> at_ms) {
             if (event == "over") {
-                m_record.findings.push_back("more than a cold replica bears: " + incarnation);
+                m_record.findings.push_back("more requests than a cold replica sustains: " + incarnation);
                 continue;
             }
-            replica_event const written { incarnation, id, soak_clock::time_point(milliseconds(at_ms)) };
+            replica_event const observed { incarnation, id, soak_clock::time_point(milliseconds(at_ms)) };
             if (event == "asked_rest")
-                m_record.rests.push_back(written);
+                m_record.backoffs.push_back(observed);
             if (event == "told_leaving")
-                m_record.leavings.push_back(written);
+                m_record.leavings.push_back(observed);
             if (event == "crashed")
-                m_record.crashes.push_back(written);
+                m_record.crashes.push_back(observed);
             if (event == "arrived")
-                m_record.arrivals.push_back(written);
+                m_record.arrivals.push_back(observed);
             if (event != "ran" && event != "arrived")
                 continue;
-            auto& seen = m_record.replicas[id];
-            ++(event == "ran" ? seen.runs : seen.arrivals);
-            seen.method = method;
-            seen.target = target;
+            auto& executions = m_record.executions[id];
+            ++(event == "ran" ? executions.runs : executions.arrivals);
+            executions.method = method;
+            executions.target = target;
         }
     }
 }
 
-result<soak_verdict> play_soak(soak_options const& options)
+result<soak_result> run_soak(soak_options const& options)
 {
     auto const run = TRY(soak_run::start(options));
-    auto const record = run->play();
-    soak_verdict verdict { find_broken_promises(record), record.requests.size(), {} };
+    auto const record = run->execute();
+    soak_result run_result { find_violations(record), record.requests.size(), {} };
     for (auto const& request : record.requests) {
         auto const status = request.end == caller_end::whole ? " " + std::to_string(request.status) : std::string();
-        ++verdict.ends[name_of(request.end) + status];
+        ++run_result.outcome_counts[name_of(request.end) + status];
     }
-    return verdict;
+    return run_result;
 }
 
 } // namespace shedhill::soak
--- a/tests/soak/soak_times.h
+++ b/tests/soak/soak_times.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Times and names that a run's course and its faults share.
+// Constants and names shared by the control flow of a soak run and its faults.
 #pragma once
 
 #include "base/units.h"
@@ -8,11 +8,11 @@
 
 namespace shedhill::soak {
 
-constexpr int poll_ms = 20;
+constexpr int poll_interval_ms = 20;
 
 inline int to_int(milliseconds time) { return static_cast<int>(time.count()); }
 
-// Of the route that only this revision has.
+// Returns the path prefix of the route that only this revision of the configuration has.
 inline std::string revision_prefix(std::uint64_t revision) { return "/v" + std::to_string(revision) + "/"; }
 
 } // namespace shedhill::soak
--- a/tests/stand_ins/engine.cpp
+++ b/tests/stand_ins/engine.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The engine's answer repeats the last message's text before each token's number, so that a test knows its own answer.
+// The engine's answer repeats the text of the last message before the number of each token, so that a test can tell the
+// answer to its own request.
 #include "tests/stand_ins/engine.h"
 
 #include <algorithm>
@@ -30,15 +31,15 @@
     else if (target == "/control")
         control(exchange);
     else
-        (void)exchange.respond(json_response(target == "/load" ? lagging_load() : boost::json::serialize(load())));
+        (void)exchange.respond(json_response(target == "/load" ? delayed_load() : boost::json::serialize(load())));
 }
 
 void engine::serve_chat(net::http_exchange& exchange)
 {
     auto const body = boost::json::parse(exchange.request().body);
     auto const text = last_content(body);
-    auto const* most = body.as_object().if_contains("max_tokens");
-    auto const tokens = most == nullptr ? default_tokens : most->to_number<std::int64_t>();
+    auto const* max_tokens = body.as_object().if_contains("max_tokens");
+    auto const tokens = max_tokens == nullptr ? default_tokens : max_tokens->to_number<std::int64_t>();
     auto const* streamed = body.as_object().if_contains("stream");
     {
         std::unique_lock lock(m_mutex);
@@ -46,7 +47,7 @@
         ++m_running;
     }
     ++m_started;
-    m_most_running = std::max(m_most_running, m_running);
+    m_max_running = std::max(m_max_running, m_running);
     if (streamed != nullptr && streamed->as_bool()) {
         stream(exchange, text, tokens);
     } else {
@@ -62,7 +63,7 @@
         else
             (void)exchange.respond(json_response(boost::json::serialize(json)));
         m_tokens += static_cast<std::uint64_t>(tokens);
-        ++m_whole;
+        ++m_completed;
     }
     --m_running;
     m_slot_freed.notify_one();
@@ -91,7 +92,7 @@
     }
     (void)exchange.write_chunk("data: [DONE]\n\n");
     if (exchange.end_stream())
-        ++m_whole;
+        ++m_completed;
 }
 
 void engine::control(net::http_exchange& exchange)
@@ -107,15 +108,15 @@
 
 boost::json::object engine::load() const
 {
-    return { { "running", m_running }, { "most_running", m_most_running }, { "started", m_started },
-        { "whole", m_whole }, { "tokens", m_tokens } };
+    return { { "running", m_running }, { "most_running", m_max_running }, { "started", m_started },
+        { "whole", m_completed }, { "tokens", m_tokens } };
 }
 
-std::string engine::lagging_load()
+std::string engine::delayed_load()
 {
-    constexpr std::chrono::milliseconds lag { 500 };
+    constexpr std::chrono::milliseconds report_interval { 500 };
     auto const now = std::chrono::steady_clock::now();
-    if (now - m_reported_at >= lag) {
+    if (now - m_reported_at >= report_interval) {
         m_reported_load = boost::json::serialize(load());
         m_reported_at = now;
     }
--- a/tests/stand_ins/engine.h
+++ b/tests/stand_ins/engine.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A stand-in for a model engine: bounded slots, tokens at a set pace, and faults on demand.
+// A stand-in for a model engine with a bounded number of slots, a fixed token interval, and faults on demand.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -20,9 +20,8 @@
     {
     }
 
-    // POST /v1/chat/completions, POST /control {"mode": "ok" | "stall" | "cut" | "twice", "after": N,
-    // "delay_ms": N}, GET /now, and GET /load, which tells how
-    // things stood up to half a second ago.
+    // Serves POST /v1/chat/completions, POST /control {"mode": "ok" | "stall" | "cut" | "twice", "after": N,
+    // "delay_ms": N}, GET /now (current load), and GET /load (load that is up to half a second old).
     void serve(net::http_exchange& exchange);
 
 private:
@@ -30,18 +29,18 @@
     void stream(net::http_exchange& exchange, std::string const& text, std::int64_t tokens);
     void control(net::http_exchange& exchange);
     [[nodiscard]] boost::json::object load() const;
-    std::string lagging_load();
+    std::string delayed_load();
 
     std::size_t m_slots;
     std::chrono::milliseconds m_token_interval;
     std::size_t m_running { 0 };
-    std::size_t m_most_running { 0 };
+    std::size_t m_max_running { 0 };
     std::uint64_t m_started { 0 };
-    std::uint64_t m_whole { 0 };
+    std::uint64_t m_completed { 0 };
     std::uint64_t m_tokens { 0 };
     std::string m_mode { "ok" };
     std::int64_t m_fault_after { 0 };
-    // Before the first token.
+    // Delay before the first token.
     std::chrono::milliseconds m_delay { 0 };
     std::string m_reported_load;
     std::chrono::steady_clock::time_point m_reported_at {};
--- a/tests/stand_ins/hosted_replica.h
+++ b/tests/stand_ins/hosted_replica.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A stand-in for a replica on the users' platform: streams or answers whole, fenced by its incarnation, with faults.
+// A stand-in for a replica on the users' platform, which streams answers or sends them at once, rejects requests for
+// another incarnation, and has faults on demand.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -13,9 +14,10 @@
 
 namespace shedhill::stand_ins {
 
-// After its start a replica bears so many requests in any second; more are written down as "over".
+// The limit of a replica after its start: the number of requests in any second while it is cold. Requests above the
+// limit are recorded as "over".
 struct cold_start {
-    std::chrono::milliseconds lasts { 0 };
+    std::chrono::milliseconds duration { 0 };
     std::size_t limit { 0 };
 };
 
@@ -24,26 +26,26 @@
     hosted_replica(
         std::string incarnation, std::chrono::milliseconds interval, std::string const& runs_file, cold_start cold);
 
-    // Any path is a request; under /stream/ ten events are streamed, and under a path with /own/ each holds the
-    // request's id; one under a path with /crash/ ends the process soon after it has begun to run. POST /control
-    // {"mode": "ok" | "busy" | "cut" | "mute" | "fail" | "rest" | "rest_once" | "leaving"}; GET /counts: how often each
-    // request id was run. One that rests turns all away and asks for two seconds without requests; "rest_once" the
-    // first only. One that leaves says so in all answers from then on.
+    // Serves POST /control {"mode": "ok" | "busy" | "cut" | "mute" | "fail" | "rest" | "rest_once" | "leaving"} and GET
+    // /counts (the number of runs by request id). Any other path is a request: under /stream/ ten events are streamed,
+    // a path with /own/ puts the request's id into each event, and one with /crash/ ends the process soon after the run
+    // has started. In the mode "rest" the replica rejects all requests and asks for a back-off of two seconds; in
+    // "rest_once" it does so for one request. After "leaving" all its answers announce that it leaves.
     void serve(net::http_exchange& exchange);
 
 private:
     void run(net::http_exchange& exchange);
     void count_while_cold(net::http_request const& request);
-    // What every answer to the request says, whatever else it says.
-    [[nodiscard]] std::vector<net::http_header> usual_headers(net::http_request const& request);
-    void turn_away(net::http_exchange& exchange);
-    // Writes a line of the runs file: what happened, to which request, what was asked, and when (steady clock, ms).
-    void note(char const* event, net::http_request const& request);
-    // Ends the process: all its connections break, and its port is closed.
+    // Returns the headers that all answers have in common.
+    [[nodiscard]] std::vector<net::http_header> common_headers(net::http_request const& request);
+    void reject(net::http_exchange& exchange);
+    // Writes a line of the runs file: event, request id, method, target, incarnation, and time (steady clock, ms).
+    void record_event(char const* event, net::http_request const& request);
+    // Ends the process, which breaks all its connections and closes its port.
     [[noreturn]] void crash(net::http_request const& request);
     void stream(net::http_exchange& exchange, std::vector<net::http_header> const& headers);
 
-    static constexpr int events_of_a_stream = 10;
+    static constexpr int events_per_stream = 10;
 
     std::string m_incarnation;
     std::chrono::milliseconds m_interval;
@@ -51,10 +53,10 @@
     bool m_is_leaving { false };
     cold_start m_cold;
     std::chrono::steady_clock::time_point m_started_at { std::chrono::steady_clock::now() };
-    // Of the last second, the oldest first.
+    // Arrivals of the last second, the oldest first.
     std::deque<std::chrono::steady_clock::time_point> m_cold_arrivals;
     std::map<std::string, std::int64_t> m_runs;
-    // Appended to line by line, so that it tells what a killed replica ran.
+    // Flushed after each line, so that it is complete when the replica is killed.
     std::ofstream m_runs_file;
 };
 
--- a/tests/stand_ins/hosted_store.cpp
+++ b/tests/stand_ins/hosted_store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Rows in memory.
+// Implements the store's interface with rows in memory.
 #include "tests/stand_ins/hosted_store.h"
 
 #include <algorithm>
@@ -81,7 +81,7 @@
     if (auto const* loses = body.if_contains("lose"))
         m_loses_answers = loses->as_bool();
     if (body.contains("forget"))
-        m_oldest = m_version + 1;
+        m_oldest_version = m_version + 1;
     if (auto const* puts = body.if_contains("put")) {
         for (auto const& entry : puts->as_array())
             put(text(entry.as_object(), "table"), text(entry.as_object(), "key"), text(entry.as_object(), "value"));
@@ -102,21 +102,21 @@
     m_tables[table][key] = { {}, ++m_version, true };
 }
 
-json::array hosted_store::rows_since(std::string const& table, std::uint64_t version, bool with_gone) const
+json::array hosted_store::rows_since(std::string const& table, std::uint64_t version, bool include_removed) const
 {
     json::array rows;
     auto const found = m_tables.find(table);
     if (found == m_tables.end())
         return rows;
     for (auto const& [key, row] : found->second) {
-        if (row.version <= version || (row.is_gone && !with_gone))
+        if (row.version <= version || (row.is_removed && !include_removed))
             continue;
-        json::object made { { "table", table }, { "part", "" }, { "tls_key", key }, { "ver", row.version } };
-        if (row.is_gone)
-            made["gone"] = true;
+        json::object row_json { { "table", table }, { "part", "" }, { "tls_key", key }, { "ver", row.version } };
+        if (row.is_removed)
+            row_json["gone"] = true;
         else
-            made["value"] = encode(row.value);
-        rows.push_back(std::move(made));
+            row_json["value"] = encode(row.value);
+        rows.push_back(std::move(row_json));
     }
     return rows;
 }
@@ -125,11 +125,11 @@
 {
     constexpr std::chrono::milliseconds pause { 10 };
     auto const since = std::stoull(query.at("since_revision"));
-    auto left = std::chrono::milliseconds(std::stoll(query.at("wait_ms")));
-    if (since + 1 < m_oldest)
+    auto time_left = std::chrono::milliseconds(std::stoll(query.at("wait_ms")));
+    if (since + 1 < m_oldest_version)
         return respond(exchange, 410, json::object {});
     auto rows = rows_since(query.at("table"), since, true);
-    for (; rows.empty() && left > pause && !m_is_down; left -= pause) {
+    for (; rows.empty() && time_left > pause && !m_is_down; time_left -= pause) {
         boost::this_fiber::sleep_for(pause);
         rows = rows_since(query.at("table"), since, true);
     }
@@ -142,8 +142,8 @@
     for (auto const& expected : body.at("expected_revision").as_array()) {
         auto const& entry = expected.as_object();
         auto const& found = m_tables[text(entry, "table")][text(entry, "tls_key")];
-        auto const present = found.is_gone ? 0 : found.version;
-        if (present != entry.at("ver").to_number<std::uint64_t>())
+        auto const current_version = found.is_removed ? 0 : found.version;
+        if (current_version != entry.at("ver").to_number<std::uint64_t>())
             return respond(exchange, 412, json::object { { "ver", m_version } });
     }
     for (auto const& entry : body.at("put").as_array())
--- a/tests/stand_ins/main.cpp
+++ b/tests/stand_ins/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The stand-ins as separate processes on loopback, for tests and demonstrations only.
+// Runs one of the stand-ins as a process on loopback, for tests and demonstrations only.
 #include "libraries/net/await.h"
 #include "libraries/net/fiber_scheduler.h"
 #include "libraries/settings/setting_table.h"
@@ -16,16 +16,16 @@
 {
     using namespace shedhill;
     settings::setting_table table("shedhill-stand-in");
-    table.add_choice(
-        "kind", { "engine", "service", "platform", "hosted-store", "hosted-replica" }, "What to stand in for.");
-    table.add_text("http", "127.0.0.1:0", "Where it is served.");
-    table.add_number("engine-slots", 6, 1, 1024, "Engine: requests at once.");
+    table.add_choice("kind", { "engine", "service", "platform", "hosted-store", "hosted-replica" },
+        "The kind of process to stand in for.");
+    table.add_text("http", "127.0.0.1:0", "Address to serve HTTP on.");
+    table.add_number("engine-slots", 6, 1, 1024, "Engine: number of concurrent requests.");
     table.add_number("token-interval-ms", 5, 0, 10000, "Engine: time between tokens.");
-    table.add_text("incarnation", "i-1", "Hosted replica: the id of this start.");
-    table.add_text("runs-file", "", "Hosted replica: where each arrival and run is written down.");
-    table.add_number("cold-ms", 0, 0, 60000, "Hosted replica: for how long it is cold after this start.");
-    table.add_number("cold-limit", 0, 0, 10000, "Hosted replica: requests in a second that it bears while cold.");
-    table.add_number("work-ms", 5, 0, 10000, "Service: time of one run.");
+    table.add_text("incarnation", "i-1", "Hosted replica: the id of this incarnation.");
+    table.add_text("runs-file", "", "Hosted replica: file that records its events, such as arrivals and runs.");
+    table.add_number("cold-ms", 0, 0, 60000, "Hosted replica: time that it is cold after its start.");
+    table.add_number("cold-limit", 0, 0, 10000, "Hosted replica: requests a second that it sustains while cold.");
+    table.add_number("work-ms", 5, 0, 10000, "Service and hosted replica: duration of one run.");
     auto const values = table.parse(count, arguments);
     if (!values) {
         std::cerr << values.error().to_string() << '\n';
@@ -59,7 +59,7 @@
         return EXIT_FAILURE;
     }
     std::cout << "listening http=" << (*server)->port() << std::endl;
-    // Runs until its parent ends it.
+    // The process runs until its parent ends it.
     net::fiber_event never;
     never.wait();
 }
--- a/tests/stand_ins/platform.cpp
+++ b/tests/stand_ins/platform.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The platform's table in memory, with its faults.
+// Implements the platform's table and object store in memory, and its faults.
 #include "tests/stand_ins/platform.h"
 
 #include <algorithm>
@@ -84,8 +84,8 @@
     boost::json::array rows;
     for (auto const& key : body.at("keys").as_array()) {
         auto const found = m_rows.find(std::string(key.as_string()));
-        auto const present = found == m_rows.end() ? row {} : found->second;
-        rows.push_back(boost::json::object { { "value", present.value }, { "version", present.version } });
+        auto const current = found == m_rows.end() ? row {} : found->second;
+        rows.push_back(boost::json::object { { "value", current.value }, { "version", current.version } });
     }
     return boost::json::object { { "rows", std::move(rows) } };
 }
@@ -106,8 +106,8 @@
     ++m_writes;
     auto const holds = [&](boost::json::value const& condition) {
         auto const found = m_rows.find(text(condition.as_object(), "key"));
-        auto const present = found == m_rows.end() ? 0 : found->second.version;
-        return present == condition.at("version").to_number<std::uint64_t>();
+        auto const current = found == m_rows.end() ? 0 : found->second.version;
+        return current == condition.at("version").to_number<std::uint64_t>();
     };
     if (!std::ranges::all_of(body.at("if").as_array(), holds))
         return boost::json::object { { "made", false } };
--- a/tests/stand_ins/platform.h
+++ b/tests/stand_ins/platform.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A stand-in for the platform: a table with compare-and-set transactions, an object store and a list of VMs.
+// A stand-in for the platform: a table with compare-and-set transactions, an object store, a list of VMs, and faults on
+// demand.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -13,7 +14,7 @@
 
 class platform {
 public:
-    // POST /v1/read, /v1/range, /v1/transaction, /v1/vms; GET and PUT /v1/objects/NAME;
+    // Serves POST /v1/read, /v1/range, /v1/transaction, /v1/vms; GET and PUT /v1/objects/NAME;
     // POST /control {"down": bool, "lose_answers": N, "delay_ms": N, "vms": [...]}; GET /counts.
     void serve(net::http_exchange& exchange);
 
@@ -37,7 +38,7 @@
     std::uint64_t m_reads { 0 };
     std::uint64_t m_writes { 0 };
     bool m_is_down { false };
-    // How many transactions are made, but not answered.
+    // Number of further transactions that take effect but are not answered.
     std::int64_t m_lost_answers { 0 };
     std::chrono::milliseconds m_delay { 0 };
 };
--- a/tests/stand_ins/service.cpp
+++ b/tests/stand_ins/service.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The record of runs is kept before the answer is given, as a real service would.
+// Records a run before the answer is sent, as a real service does.
 #include "tests/stand_ins/service.h"
 
 #include <boost/fiber/operations.hpp>
--- a/tests/stand_ins/service.h
+++ b/tests/stand_ins/service.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A stand-in for a plain service: records each run by its idempotency key and body.
+// A stand-in for a plain service, which counts runs by idempotency key, or by target and body if there is no key.
 #pragma once
 
 #include "libraries/net/http.h"
@@ -18,7 +18,8 @@
     {
     }
 
-    // Any request but GET /runs and POST /control {"mode": "ok" | "cut" | "slow", "delay_ms": N} is a run.
+    // Serves GET /runs (the number of runs by key) and POST /control {"mode": "ok" | "cut" | "slow", "delay_ms": N};
+    // any other request is a run.
     void serve(net::http_exchange& exchange);
 
 private:
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Runs all registered tests, or those whose name contains the first argument, and prints the real counts.
+// Runs all registered tests, or those whose name contains the first argument, and prints the numbers of passed and
+// failed tests.
 #include "libraries/net/fiber_scheduler.h"
 
 #include <algorithm>
@@ -17,9 +18,9 @@
 
 namespace {
 
-// The names at the beginning of the lines of KNOWN-RED.txt: tests that fail for a fault that is known and not yet
-// mended.
-std::vector<std::string> read_known_red()
+// Returns the test names at the start of the lines of KNOWN-RED.txt, which lists tests that fail for a known fault that
+// is not yet fixed.
+std::vector<std::string> read_known_failures()
 {
     std::vector<std::string> names;
     std::ifstream file(std::string(SHEDHILL_SOURCE_DIR) + "/KNOWN-RED.txt");
@@ -35,31 +36,31 @@
         names, [&](std::string const& name) { return !name.empty() && test.ends_with("::" + name); });
 }
 
-// Runs a test that is known to be red by itself: it is seen, and does not count.
-void run_known_red(CppUnit::Test& test)
+// Runs a test that is known to fail, and prints its result without counting it.
+void run_known_failure(CppUnit::Test& test)
 {
     CppUnit::TestResult result;
-    CppUnit::TestResultCollector collected;
-    result.addListener(&collected);
+    CppUnit::TestResultCollector collector;
+    result.addListener(&collector);
     test.run(&result);
-    std::cout << "known to be red: " << test.getName() << (collected.wasSuccessful() ? " passes now" : " fails")
+    std::cout << "known to be red: " << test.getName() << (collector.wasSuccessful() ? " passes now" : " fails")
               << std::endl;
 }
 
-void run_matching(CppUnit::Test& test, std::string const& wanted, std::vector<std::string> const& known_red,
+void run_matching(CppUnit::Test& test, std::string const& name_part, std::vector<std::string> const& known_failures,
     CppUnit::TestResult& result)
 {
     if (test.getChildTestCount() == 0) {
-        if (test.getName().find(wanted) == std::string::npos)
+        if (test.getName().find(name_part) == std::string::npos)
             return;
-        if (is_listed(known_red, test.getName()))
-            run_known_red(test);
+        if (is_listed(known_failures, test.getName()))
+            run_known_failure(test);
         else
             test.run(&result);
         return;
     }
     for (int index = 0; index < test.getChildTestCount(); ++index)
-        run_matching(*test.getChildTestAt(index), wanted, known_red, result);
+        run_matching(*test.getChildTestAt(index), name_part, known_failures, result);
 }
 
 } // namespace
@@ -68,14 +69,14 @@
 {
     shedhill::net::process_io_context();
     CppUnit::TestResult result;
-    CppUnit::TestResultCollector collected;
+    CppUnit::TestResultCollector collector;
     CppUnit::BriefTestProgressListener progress;
-    result.addListener(&collected);
+    result.addListener(&collector);
     result.addListener(&progress);
     auto* const tests = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
-    run_matching(*tests, count > 1 ? arguments[1] : "", read_known_red(), result);
-    CppUnit::CompilerOutputter(&collected, std::cerr).write();
-    auto const failed = collected.testFailuresTotal();
-    std::cout << collected.runTests() - failed << " passed, " << failed << " failed" << std::endl;
-    std::_Exit(failed == 0 && collected.runTests() > 0 ? EXIT_SUCCESS : EXIT_FAILURE);
+    run_matching(*tests, count > 1 ? arguments[1] : "", read_known_failures(), result);
+    CppUnit::CompilerOutputter(&collector, std::cerr).write();
+    auto const failed = collector.testFailuresTotal();
+    std::cout << collector.runTests() - failed << " passed, " << failed << " failed" << std::endl;
+    std::_Exit(failed == 0 && collector.runTests() > 0 ? EXIT_SUCCESS : EXIT_FAILURE);
 }
--- a/tests/support/property.h
+++ b/tests/support/property.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// RapidCheck properties as CppUnit assertions. The seed is fixed unless RC_PARAMS says otherwise.
+// Checks RapidCheck properties as CppUnit assertions. The seed is fixed unless the environment variable RC_PARAMS sets
+// another one.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,7 +14,7 @@
 template <typename Property>
 void check_property(std::string const& description, Property&& property)
 {
-    // NOTE: RapidCheck reads this variable once, at the first property; a run with other seeds sets it itself.
+    // NOTE: RapidCheck reads this variable once, at the first property. A value from the environment is kept.
     setenv("RC_PARAMS", "seed=20261202 max_success=100", 0);
     CPPUNIT_ASSERT_MESSAGE(description, rc::check(description, std::forward<Property>(property)));
 }
--- a/utilities/benchmarks/fleet_bench.cpp
+++ b/utilities/benchmarks/fleet_bench.cpp
@@ -40,12 +40,12 @@
     latency measured;
     for (int asked = 0; asked < count; ++asked) {
         auto const started = std::chrono::steady_clock::now();
-        auto const answer = ask(address, fleet::key_of("recetario/team-0"), "cook", "q", tokens);
+        auto const answer = request_chat(address, fleet::key_of("recetario/team-0"), "cook", "q", tokens);
         auto const total
             = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - started).count();
         if (!answer.is_whole)
             continue;
-        auto const first = std::chrono::duration<double, std::milli>(answer.first_token_exact).count();
+        auto const first = std::chrono::duration<double, std::milli>(answer.exact_time_to_first_token).count();
         measured.first.values.push_back(first);
         measured.between.values.push_back((total - first) / (tokens - 1));
     }
@@ -114,7 +114,8 @@
         fiber_group callers;
         for (std::size_t index = 0; index < streams; ++index) {
             callers.start([&, index] {
-                ask(running.http(0), fleet::key_of("recetario/team-" + std::to_string(index % 4)), "cook", "q", tokens);
+                request_chat(
+                    running.http(0), fleet::key_of("recetario/team-" + std::to_string(index % 4)), "cook", "q", tokens);
             });
         }
         pause(2000);
@@ -202,7 +203,7 @@
         auto const key = fleet::key_of("recetario/team-" + std::to_string(team));
         while (!m_is_over) {
             auto const tokens = team % 4 == 0 ? long_answer : short_answer;
-            auto const answer = ask(m_fleet->http(router), key, "cook", "q", tokens);
+            auto const answer = request_chat(m_fleet->http(router), key, "cook", "q", tokens);
             m_tokens[team] += static_cast<double>(answer.tokens);
         }
     }
