--- a/libraries/peering/peer_directory.h
+++ b/libraries/peering/peer_directory.h
@@ -64,7 +64,8 @@
     // of which only the address is known.
     [[nodiscard]] std::vector<std::string> wanted_reverse_links() const;
 
-    // Returns the table keys of routers that have been unreachable for so long that their rows are to be removed.
+    // Returns the table keys of routers whose rows are to be removed, because this router has been unable to connect to
+    // them for a long time.
     [[nodiscard]] std::vector<std::string> stale_rows(instant now) const;
     // Returns all routers that are not known to be down, including this one.
     [[nodiscard]] std::vector<fleet_member> members() const;
@@ -95,6 +96,8 @@
         // When it last asked this router to connect to it.
         instant link_requested_at {};
         instant next_attempt_at {};
+        // When the connection or the first attempt failed; the zero instant if neither has failed since the last
+        // successful one.
         instant down_since {};
         milliseconds backoff { 0 };
         // Until this time, other routers of its domain are preferred as remote peer.
--- a/libraries/peering/peer_message.cpp
+++ b/libraries/peering/peer_message.cpp
@@ -190,26 +190,26 @@
         for (auto const& [key, row] : table.rows)
             rows.push_back(
                 fbs::CreateRow(builder, builder.CreateString(key), builder.CreateString(row.value), row.version));
-        std::vector<flatbuffers::Offset<fbs::Row>> gone;
+        std::vector<flatbuffers::Offset<fbs::Row>> removed;
         for (auto const& row : table.removed)
-            gone.push_back(fbs::CreateRow(builder, builder.CreateString(row.key), 0, row.version));
+            removed.push_back(fbs::CreateRow(builder, builder.CreateString(row.key), 0, row.version));
         auto const encoded = fbs::CreateDocument(builder, static_cast<std::uint8_t>(document.kind), table.version,
             builder.CreateVector(rows), table.changed_version, table.since ? *table.since + 1 : 0,
-            builder.CreateVector(gone), table.keys_hash);
+            builder.CreateVector(removed), table.keys_hash);
         return fbs::CreateMessage(builder, 0, encoded);
     }
 
-    flatbuffers::Offset<fbs::Message> operator()(document_request const& wanted) const
+    flatbuffers::Offset<fbs::Message> operator()(document_request const& request) const
     {
-        auto const address = builder.CreateString(wanted.address);
+        auto const address = builder.CreateString(request.address);
         auto const encoded
-            = fbs::CreateDocumentVersion(builder, static_cast<std::uint8_t>(wanted.kind), wanted.version);
-        return fbs::CreateMessage(builder, 0, 0, encoded, address, wanted.since);
+            = fbs::CreateDocumentVersion(builder, static_cast<std::uint8_t>(request.kind), request.version);
+        return fbs::CreateMessage(builder, 0, 0, encoded, address, request.since);
     }
 
-    flatbuffers::Offset<fbs::Message> operator()(link_request const& wanted) const
+    flatbuffers::Offset<fbs::Message> operator()(link_request const& request) const
     {
-        auto const address = builder.CreateString(wanted.address);
+        auto const address = builder.CreateString(request.address);
         return fbs::CreateMessage(builder, 0, 0, 0, 0, 0, address);
     }
 };
@@ -251,10 +251,10 @@
         return peer_message(TRY(decode(*message->state())));
     if (auto const* document = message->document())
         return peer_message(TRY(decode(*document)));
-    if (auto const* wanted = message->wanted()) {
-        auto const kind = TRY(kind_of(wanted->kind()));
+    if (auto const* request = message->wanted()) {
+        auto const kind = TRY(kind_of(request->kind()));
         return peer_message(
-            document_request { kind, wanted->version(), text_of(message->wanted_by()), message->wanted_since() });
+            document_request { kind, request->version(), text_of(message->wanted_by()), message->wanted_since() });
     }
     if (auto const* address = message->link_wanted_by())
         return peer_message(link_request { text_of(address) });
--- a/libraries/peering/peer_rotation.cpp
+++ b/libraries/peering/peer_rotation.cpp
@@ -21,7 +21,7 @@
         due.push_back(m_last_address);
         m_next_at += turn_interval;
     }
-    // Turns that were missed while there were no peers are not made up for.
+    // No peer is served twice in one call: turns in excess of the number of peers are dropped.
     m_next_at = std::max(m_next_at, now);
     return due;
 }
--- a/libraries/peering/peer_rotation.h
+++ b/libraries/peering/peer_rotation.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // Schedules which routers receive the list of all routers. The length of the list grows with the fleet, so a router
-// sends it to a fixed number of its peers per second, in rotation; the peers include it in their own lists.
+// sends it to a fixed number of its peers per second, in rotation; the peers add its entries to their own lists.
 #pragma once
 
 #include "base/units.h"
@@ -17,7 +17,7 @@
     [[nodiscard]] std::vector<std::string> take_due(std::vector<std::string> const& domain_peers, instant now);
 
 private:
-    // Time between two turns: in the largest full mesh, of 11 peers, each peer is served every four seconds.
+    // Time between two turns: in the largest full mesh, of 11 peers, each peer is served about every four seconds.
     static constexpr milliseconds turn_interval { 350 };
 
     instant m_next_at {};
--- a/libraries/peering/watch_assignment.h
+++ b/libraries/peering/watch_assignment.h
@@ -31,6 +31,7 @@
 
 private:
     struct router_state {
+        // The hash of the router's name. The live routers of the lowest ranks are the watchers.
         std::uint64_t rank { 0 };
         instant confirmed_at {};
         instant last_received_at {};
--- a/libraries/relay/held_bytes.h
+++ b/libraries/relay/buffered_bytes.h
@@ -8,31 +8,31 @@
 
 namespace shedhill::relay {
 
-class held_meter {
+class buffer_meter {
 public:
     // Sets the limit of all buffered bytes; 0 if the VM's memory is unknown, which means no limit.
     void set_limit(std::size_t bytes) { m_limit = bytes; }
     [[nodiscard]] std::size_t limit() const { return m_limit; }
 
-    void change(std::size_t before, std::size_t now) { m_held += now - before; }
-    [[nodiscard]] std::size_t held() const { return m_held; }
-    [[nodiscard]] bool is_over_limit() const { return m_limit != 0 && m_held > m_limit; }
+    void change(std::size_t before, std::size_t now) { m_buffered += now - before; }
+    [[nodiscard]] std::size_t bytes() const { return m_buffered; }
+    [[nodiscard]] bool is_over_limit() const { return m_limit != 0 && m_buffered > m_limit; }
 
 private:
-    std::size_t m_held { 0 };
+    std::size_t m_buffered { 0 };
     std::size_t m_limit { 0 };
 };
 
 // The buffered bytes of one owner; they are subtracted from the meter when the owner is destroyed.
-class held_bytes {
+class buffered_bytes {
 public:
-    explicit held_bytes(held_meter& meter)
+    explicit buffered_bytes(buffer_meter& meter)
         : m_meter(meter)
     {
     }
-    ~held_bytes() { set(0); }
-    held_bytes(held_bytes const&) = delete;
-    held_bytes& operator=(held_bytes const&) = delete;
+    ~buffered_bytes() { set(0); }
+    buffered_bytes(buffered_bytes const&) = delete;
+    buffered_bytes& operator=(buffered_bytes const&) = delete;
 
     void set(std::size_t bytes)
     {
@@ -42,7 +42,7 @@
     [[nodiscard]] std::size_t size() const { return m_bytes; }
 
 private:
-    held_meter& m_meter;
+    buffer_meter& m_meter;
     std::size_t m_bytes { 0 };
 };
 
--- a/libraries/relay/call_connection.h
+++ b/libraries/relay/call_connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// A connection to an HTTP server, an endpoint or the store, that carries one call at a time. It distinguishes calls of
-// which no byte was written, and can skip answers that belong to an earlier call.
+// A connection to an HTTP server, an endpoint or the store, that carries one call at a time. It reports separately
+// whether a failed call was sent at all, and can skip answers that belong to an earlier call.
 #pragma once
 
 #include "libraries/relay/http_message.h"
@@ -80,7 +80,7 @@
     std::optional<http::response_parser<streamed_body>> m_parser;
     bool m_has_head { false };
     bool m_is_skipping { false };
-    // The number of the current call.
+    // Counts the calls, which shows whether the listener has started another call during a callback.
     std::uint64_t m_call_number { 0 };
     // Received bytes of the answer that the parser cannot consume yet.
     std::string m_unparsed;
--- a/libraries/relay/caller_connection.h
+++ b/libraries/relay/caller_connection.h
@@ -40,7 +40,8 @@
     [[nodiscard]] bool is_answering() const { return m_is_answering; }
     // The time of the last read or write.
     [[nodiscard]] instant last_activity() const { return m_last_activity; }
-    // Returns whether bytes of a request that was not yet passed to the listener have arrived.
+    // Returns whether received bytes are not parsed yet, such as an incomplete head or a pipelined request. The bytes
+    // of an incomplete body are parsed as they arrive and do not count.
     [[nodiscard]] bool has_partial_request() const { return !m_input.empty(); }
     // Returns whether the connection closes after this answer, at the caller's or the router's request.
     [[nodiscard]] bool closes_after_answer() const { return m_closes_after_answer; }
--- a/libraries/relay/event_loop.h
+++ b/libraries/relay/event_loop.h
@@ -7,7 +7,7 @@
 #include "base/boot_clock.h"
 #include "base/error.h"
 #include "base/units.h"
-#include "libraries/relay/held_bytes.h"
+#include "libraries/relay/buffered_bytes.h"
 #include "libraries/relay/link_meter.h"
 
 #include <array>
@@ -73,7 +73,7 @@
     // Meters the traffic of all sockets of the loop.
     [[nodiscard]] link_meter& link() { return m_link; }
     // Counts the bytes that are buffered for all peers of the loop.
-    [[nodiscard]] held_meter& held() { return m_held; }
+    [[nodiscard]] buffer_meter& buffered() { return m_buffered; }
     // Returns the fraction of the link's capacity that was used since the last call, from 0 to 1.
     [[nodiscard]] double take_link_fraction();
 
@@ -96,7 +96,7 @@
     std::int64_t m_busy_since_ns { 0 };
     instant m_now {};
     link_meter m_link;
-    held_meter m_held;
+    buffer_meter m_buffered;
     std::vector<watched_slot> m_slots;
     std::vector<std::uint32_t> m_free_slots;
     std::vector<std::function<void()>> m_at_end;
--- a/libraries/relay/exchange.h
+++ b/libraries/relay/exchange.h
@@ -38,9 +38,9 @@
         , m_number(number)
         , m_request(std::move(request))
         , m_caller(std::move(caller))
-        , m_held(loop.held())
+        , m_buffered(loop.buffered())
     {
-        m_held.set(m_request.body().size());
+        m_buffered.set(m_request.body().size());
     }
     ~exchange() override { drop_attempt(); }
     exchange(exchange const&) = delete;
@@ -55,7 +55,7 @@
         m_connection = std::move(connection);
         m_attempt_events = 0;
         m_body.clear();
-        m_held.set(m_request.body().size());
+        m_buffered.set(m_request.body().size());
         m_stream.drop_partial();
         m_started_at = m_loop.now();
         m_last_progress_at = m_started_at;
@@ -156,7 +156,7 @@
         m_has_stalled = false;
         if (!m_is_stream) {
             m_body += data;
-            m_held.set(m_request.body().size() + m_body.size());
+            m_buffered.set(m_request.body().size() + m_body.size());
             return;
         }
         m_whole_events.clear();
@@ -238,12 +238,12 @@
     void end_attempt(dispatch::attempt_end end)
     {
         m_connection.reset();
-        dispatch::attempt_ended ended { m_number, m_attempt.attempt, end, m_status, std::exchange(m_attempt_events, 0),
+        dispatch::attempt_ended event { m_number, m_attempt.attempt, end, m_status, std::exchange(m_attempt_events, 0),
             m_is_head_sent };
         bool const may_clear = end == dispatch::attempt_end::complete && m_owner.suspects_requests();
         if (end == dispatch::attempt_end::broken || may_clear)
-            ended.content = content_of(m_request);
-        m_owner.on_event(ended);
+            event.content = content_of(m_request);
+        m_owner.on_event(event);
     }
 
     static constexpr std::uint16_t first_status_not_success = 300;
@@ -270,7 +270,7 @@
     // The body of an answer that is not a stream, withheld until it is complete.
     std::string m_body;
     // Accounts for the bodies of the request and of the answer.
-    held_bytes m_held;
+    buffered_bytes m_buffered;
     // Whether the answer's head was sent to the caller. Invariant: once true, no head is written again.
     bool m_is_head_sent { false };
 };
--- a/libraries/relay/peer_mesh.h
+++ b/libraries/relay/peer_mesh.h
@@ -38,7 +38,8 @@
     // Returns the connected routers that receive this router's own reports, sorted by address.
     [[nodiscard]] std::vector<std::string> connected_routers() const;
     void send_to(std::string const& address, std::string const& frame, traffic_kind kind);
-    // Returns the routers to which a connection was established since the last call. They may have no state yet.
+    // Returns the routers to which a connection was established since the last call. They have received
+    // no report from this router over that connection yet.
     [[nodiscard]] std::vector<std::string> take_newly_connected() { return std::exchange(m_newly_connected, {}); }
 
     [[nodiscard]] peer_traffic const& traffic() const { return m_traffic; }
--- a/libraries/relay/protocol.h
+++ b/libraries/relay/protocol.h
@@ -22,7 +22,7 @@
     wrong_endpoint,
     // The answer belongs to another call.
     other_call,
-    // The answer lacks the endpoint's marks and is not accepted as its answer.
+    // The answer lacks the fields that show that the endpoint's own server wrote it, so it is not forwarded.
     invalid,
 };
 
--- a/libraries/relay/slow_readers.cpp
+++ b/libraries/relay/slow_readers.cpp
@@ -15,14 +15,15 @@
 
 } // namespace
 
-std::vector<std::uint64_t> readers_to_disconnect(std::vector<slow_reader> readers, std::size_t held, std::size_t limit)
+std::vector<std::uint64_t> readers_to_disconnect(
+    std::vector<slow_reader> readers, std::size_t buffered, std::size_t limit)
 {
     std::ranges::sort(readers, std::greater(), &slow_reader::unread_bytes);
     std::vector<std::uint64_t> callers;
     for (auto const& reader : readers) {
-        if (held <= limit || reader.unread_bytes < min_unread_bytes)
+        if (buffered <= limit || reader.unread_bytes < min_unread_bytes)
             break;
-        held -= std::min(held, reader.unread_bytes);
+        buffered -= std::min(buffered, reader.unread_bytes);
         callers.push_back(reader.caller);
     }
     return callers;
--- a/libraries/relay/slow_readers.h
+++ b/libraries/relay/slow_readers.h
@@ -15,8 +15,10 @@
     std::size_t unread_bytes { 0 };
 };
 
-// Returns the callers with the most unread bytes whose removal brings the held bytes down to the limit. Callers with
-// few unread bytes are never among them: they do not fill the memory, and if requests fill it, new ones are refused.
-std::vector<std::uint64_t> readers_to_disconnect(std::vector<slow_reader> readers, std::size_t held, std::size_t limit);
+// Returns the callers with the most unread bytes whose removal brings the buffered bytes down to the limit. Callers
+// with few unread bytes are never among them: they do not fill the memory, and if requests fill it, new ones are
+// refused.
+std::vector<std::uint64_t> readers_to_disconnect(
+    std::vector<slow_reader> readers, std::size_t buffered, std::size_t limit);
 
 } // namespace shedhill::relay
--- a/libraries/relay/socket.cpp
+++ b/libraries/relay/socket.cpp
@@ -128,7 +128,7 @@
                 m_out.erase(0, m_written);
                 m_written = 0;
             }
-            m_held.set(unwritten_size());
+            m_buffered.set(unwritten_size());
             return true;
         }
         m_written += static_cast<std::size_t>(count);
@@ -136,8 +136,8 @@
     }
     clear_buffer(m_out);
     m_written = 0;
-    if (m_held.size() != 0)
-        m_held.set(0);
+    if (m_buffered.size() != 0)
+        m_buffered.set(0);
     if (m_is_blocked) {
         m_is_blocked = false;
         update_interest();
@@ -172,7 +172,7 @@
     m_loop.unwatch(m_watch, m_descriptor);
     ::close(m_descriptor);
     m_descriptor = -1;
-    m_held.set(0);
+    m_buffered.set(0);
 }
 
 void socket::reset()
--- a/libraries/relay/socket.h
+++ b/libraries/relay/socket.h
@@ -40,7 +40,7 @@
     socket(event_loop& loop, io_handler& handler)
         : m_loop(loop)
         , m_handler(handler)
-        , m_held(loop.held())
+        , m_buffered(loop.buffered())
     {
     }
     ~socket() { close(); }
@@ -90,7 +90,7 @@
     // How many bytes of m_out were written. Invariant: at most m_out.size().
     std::size_t m_written { 0 };
     // The unwritten bytes when the socket was last flushed.
-    held_bytes m_held;
+    buffered_bytes m_buffered;
 };
 
 class listener_socket final : io_handler {
--- a/libraries/relay/table_access.h
+++ b/libraries/relay/table_access.h
@@ -45,7 +45,7 @@
 concept table_protocol = requires(std::string const& text, std::string_view body, table_name table,
     std::uint64_t version, milliseconds wait, unsigned status)
 {
-    // Return complete HTTP calls to the store.
+    // Return complete HTTP calls to the store, whose address is the first argument.
     {
         Binding::read_call(text, table, text)
         } -> std::same_as<std::string>;
--- a/services/shedhilld/caller_table.cpp
+++ b/services/shedhilld/caller_table.cpp
@@ -27,9 +27,9 @@
 {
     std::vector<std::shared_ptr<relay::caller_connection>> idle;
     for (auto const& [number, caller] : m_callers) {
-        auto const idle_timeout = now - caller->last_activity();
+        auto const idle_time = now - caller->last_activity();
         auto const limit = caller->has_partial_request() ? limits.header_timeout : limits.idle_timeout;
-        if (!caller->is_answering() && idle_timeout > limit)
+        if (!caller->is_answering() && idle_time > limit)
             idle.push_back(caller);
     }
     for (auto const& caller : idle)
@@ -54,17 +54,17 @@
 
 std::vector<caller_table::disconnected_reader> caller_table::disconnect_slow_readers()
 {
-    auto const& held = m_loop.held();
+    auto const& buffered = m_loop.buffered();
     std::vector<relay::slow_reader> readers;
     for (auto const& [number, caller] : m_callers)
         readers.push_back({ number, caller->unwritten_size() });
-    std::vector<disconnected_reader> ended;
-    for (auto const number : relay::readers_to_disconnect(std::move(readers), held.held(), held.limit())) {
+    std::vector<disconnected_reader> disconnected;
+    for (auto const number : relay::readers_to_disconnect(std::move(readers), buffered.bytes(), buffered.limit())) {
         auto const caller = m_callers.at(number);
-        ended.push_back({ caller->unwritten_size() });
+        disconnected.push_back({ caller->unwritten_size() });
         caller->abort_connection();
     }
-    return ended;
+    return disconnected;
 }
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/caller_table.h
+++ b/services/shedhilld/caller_table.h
@@ -26,7 +26,8 @@
     void remove_later(std::uint64_t number);
     [[nodiscard]] std::size_t size() const { return m_callers.size(); }
 
-    // Closes the callers that have been idle, or have taken for a request's head, longer than the limits allow.
+    // Closes the callers whose last read or write is longer ago than the limit for idle callers allows, or the limit
+    // for callers that have sent an incomplete head.
     void close_timed_out(dispatch::caller_limits const& limits, instant now);
     // Releases all callers that are not sending a request.
     void close_idle();
@@ -34,7 +35,7 @@
 
     // Describes a caller that was disconnected because it read too slowly.
     struct disconnected_reader {
-        // Bytes of answers that it had not read.
+        // Bytes of answers that were still to be written to it.
         std::size_t unread { 0 };
     };
     // Disconnects the callers with the most unread bytes until the bytes buffered for peers are within their limit.
--- a/services/shedhilld/counter_names.h
+++ b/services/shedhilld/counter_names.h
@@ -10,7 +10,7 @@
 
 // Returns the counter that the event is counted in.
 std::string counter_name(dispatch::count_event const& event);
-// Returns the histogram that the time is counted in.
+// Returns the histogram that the time is recorded in.
 std::string histogram_name(dispatch::timer_event const& measured);
 
 } // namespace shedhill::daemon
--- a/services/shedhilld/endpoint_connections.h
+++ b/services/shedhilld/endpoint_connections.h
@@ -19,7 +19,8 @@
     {
     }
 
-    // Returns an idle connection that suits the choice, or a new one.
+    // Returns the idle connection that was used last, or a new one if there is none. If the choice is `fresh`, an idle
+    // connection is returned only if it was in use a short time ago.
     std::shared_ptr<relay::call_connection> take(
         endpoint_key instance, dispatch::connection_choice choice, instant now);
     void add_idle(endpoint_key instance, std::shared_ptr<relay::call_connection> connection);
--- a/services/shedhilld/endpoint_daemon.cpp
+++ b/services/shedhilld/endpoint_daemon.cpp
@@ -14,9 +14,9 @@
 
 constexpr milliseconds tick_interval { 100 };
 
-endpoint::engine_end to_engine_end(net::http_call_outcome ended)
+endpoint::engine_end to_engine_end(net::http_call_outcome outcome)
 {
-    switch (ended) {
+    switch (outcome) {
     case net::http_call_outcome::complete:
         return endpoint::engine_end::whole;
     case net::http_call_outcome::not_sent:
@@ -129,7 +129,7 @@
 void endpoint_daemon::make_call(endpoint::call_number number, wire::run const& request, net::http_call& call)
 {
     endpoint::service_meter meter(m_settings.options.weights, request.body.size());
-    auto const ended = call.run(
+    auto const outcome = call.run(
         m_settings.engine_address, to_http(request), request.time_left,
         [&](std::uint16_t status, std::string const& content_type) {
             meter.start_answer(content_type);
@@ -140,7 +140,7 @@
             post(endpoint::engine_data { number, std::string(data), meter.service() });
         });
     m_calls.erase(number);
-    post(endpoint::engine_ended { number, to_engine_end(ended), meter.service() });
+    post(endpoint::engine_ended { number, to_engine_end(outcome), meter.service() });
 }
 
 // Waits up to 2 s until the last messages are written to the routers, then stops the process.
--- a/services/shedhilld/exchange_table.h
+++ b/services/shedhilld/exchange_table.h
@@ -29,8 +29,8 @@
         return found == m_exchanges.end() ? nullptr : found->second.get();
     }
 
-    // Removes a caller that has gone. Returns the request that it waited for, if any; the exchange of that request is
-    // finished.
+    // Removes a caller that has disconnected. Returns the request that it waited for, if any, whose exchange is marked
+    // as finished.
     std::optional<request_number> remove_caller(caller_number caller)
     {
         auto const found = m_request_of_caller.find(caller);
--- a/services/shedhilld/fleet_reports.h
+++ b/services/shedhilld/fleet_reports.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Exchanges reports between routers. Each router sends its own report to the routers of its failure domain. One router
-// of each failure domain, its delegate, sends the domain's sums to the other failure domains, and the router that
-// receives them forwards them to the routers of its own domain. So one message in a tenth of a second crosses from one
-// failure domain to another, however many routers there are.
+// Exchanges reports between routers. In a full mesh each router sends its own report to all others. In a larger fleet
+// it sends the report to the routers of its failure domain only. One router of each failure domain, its delegate, sends
+// the domain's sums to the other failure domains, and the router that receives them forwards them to the routers of its
+// own domain. One message per report interval thus crosses from one failure domain to another, however many routers
+// there are.
 #pragma once
 
 #include "libraries/dispatch/dispatch_reducer.h"
@@ -19,7 +20,7 @@
 
 namespace shedhill::daemon {
 
-// Requires of the owner of the reports that it provides what they are made from and handles what other routers send.
+// The owner of fleet_reports, which provides the contents of the reports and handles what other routers send.
 template <typename Owner>
 concept reports_owner = requires(Owner& owner, peering::state_message& state, peering::document_message& document,
     peering::document_request const& request, dispatch::event_body event, std::string const& name, instant now)
@@ -110,8 +111,10 @@
     // How often this router asks others to connect to it. A tick that finds a new link starts the interval.
     static constexpr milliseconds link_request_interval { 1000 };
 
-    // Returns the time between two reports. A choice knows least about what other routers have sent in the last
-    // moments, so a small fleet reports more often. Each message costs a few system calls at both ends.
+    // Returns the time between two reports. The choice of an endpoint depends on what other routers have sent there,
+    // of which it can only estimate the part since their last reports, so a small fleet reports more often. Each
+    // message costs a few system calls at both ends, so the number of messages that a router sends per second is
+    // limited.
     static milliseconds interval(std::size_t routers)
     {
         constexpr std::int64_t messages_per_second = 300;
@@ -152,8 +155,8 @@
             m_peers.send_to(address, frame, relay::traffic_kind::documents);
     }
 
-    // Sends this router's own report. Most reports hold only what changed. A full report follows once in a while, and
-    // when a router is new, so that a lost message does no lasting harm.
+    // Sends this router's own report. Most reports hold only what changed. A full report is sent at intervals, which
+    // makes up for lost messages, and when another router has just connected.
     void send_own_report(std::vector<std::string> const& new_peers, instant now)
     {
         bool const is_new = has_new_peer(new_peers, true);
--- a/services/shedhilld/fleet_view.h
+++ b/services/shedhilld/fleet_view.h
@@ -25,7 +25,7 @@
 
 namespace shedhill::daemon {
 
-// Requires of the router that owns a fleet_view that it handles dispatcher events, writes the log and counts metrics.
+// The router that owns a fleet_view, which handles dispatcher events, writes the log and counts metrics.
 template <typename Host>
 concept fleet_view_host
     = requires(Host& host, dispatch::event_body event, logging::event_level level, std::string const& text)
@@ -146,7 +146,7 @@
 
     [[nodiscard]] std::vector<peering::document_version> own_document_versions(instant now)
     {
-        auto const recovered_at = endpoint_list_contact(now).recovered_at;
+        auto const recovered_at = endpoint_list_availability(now).recovered_at;
         std::optional<milliseconds> returned_ago;
         if (recovered_at != instant {})
             returned_ago = now - recovered_at;
@@ -194,7 +194,7 @@
     // time. For the endpoint list, the margin is added to the shortest time between two calls of its feed.
     static constexpr milliseconds configuration_staleness_limit { 900 };
     static constexpr milliseconds list_staleness_margin { 200 };
-    // A configuration that another failure domain has held for this time, three report intervals of 100 ms, should have
+    // A configuration that another router has reported for this time, three report intervals of 100 ms, should have
     // arrived from the store or from a router of the own failure domain.
     static constexpr milliseconds missed_configuration_delay { 300 };
     // A router that has just started does not know yet which routers watch the store. It reads the tables immediately
@@ -207,6 +207,7 @@
     // The time that a feed's answer and the report that mentions it take, beyond the time between two calls and the
     // time that the store may hold a call.
     static constexpr milliseconds report_delay { 300 };
+
     // Returns the terms on which this router watches the store, or the terms that apply if it is not a watcher.
     [[nodiscard]] dispatch::watch_terms own_watch_terms(bool is_watcher, instant now) const
     {
@@ -296,7 +297,7 @@
         m_host.handle_event(dispatch::configuration_received { std::move(*parsed), source.name, source.age });
     }
 
-    [[nodiscard]] dispatch::store_availability endpoint_list_contact(instant now)
+    [[nodiscard]] dispatch::store_availability endpoint_list_availability(instant now)
     {
         auto const& watcher = m_endpoints.watcher();
         return m_outages.availability({ watcher.confirmed_at(), watcher.recovered_at(), m_is_watching_store }, now);
@@ -307,10 +308,10 @@
         auto table_rows = m_endpoint_rows.read(m_endpoints.watcher().rows());
         log_refused_rows(m_endpoint_rows.take_refused());
         auto const now = m_loop.now();
-        auto const kept_before = m_roster.retained_count();
-        bool const is_changed = m_roster.apply_list(std::move(table_rows), endpoint_list_contact(now), now);
-        if (m_roster.retained_count() > kept_before)
-            log_kept_endpoints();
+        auto const retained_before = m_roster.retained_count();
+        bool const is_changed = m_roster.apply_list(std::move(table_rows), endpoint_list_availability(now), now);
+        if (m_roster.retained_count() > retained_before)
+            log_retained_endpoints();
         if (is_changed)
             m_host.handle_event(dispatch::endpoints_listed { m_roster.entries() });
     }
@@ -325,7 +326,7 @@
         }
     }
 
-    void log_kept_endpoints()
+    void log_retained_endpoints()
     {
         m_host.count("shedhill_lapsed_lists_total");
         m_host.log_state(
@@ -376,7 +377,8 @@
     // Returns whether a newer version at a router of another failure domain is not requested, because it is still
     // expected from the store or from a router of the own failure domain. Traffic between failure domains is expensive,
     // and the routers of the own one have what the store publishes. A confirmation of the endpoint list says nothing
-    // about the configuration: a configuration that others have held for a while was missed here.
+    // about the configuration, which is requested once other routers have reported a newer one for
+    // missed_configuration_delay.
     [[nodiscard]] bool is_expected_from_own_domain(peering::document_version const& reported, instant now)
     {
         if (now - m_started_at < initial_store_read_time)
--- a/services/shedhilld/platform_router.h
+++ b/services/shedhilld/platform_router.h
@@ -66,7 +66,7 @@
     result<void> open()
     {
         m_loop.link().set_megabits_per_second(m_settings.link_megabits_per_second);
-        m_loop.held().set_limit(m_settings.memory_bytes / buffer_memory_divisor);
+        m_loop.buffered().set_limit(m_settings.memory_bytes / buffer_memory_divisor);
         TRY_VOID(m_caller_listener.open(m_settings.caller_address));
         TRY_VOID(m_ready_server.open(m_settings.ready_address));
         auto const metrics = open_metrics();
@@ -131,7 +131,8 @@
     static constexpr milliseconds timeout_check_interval { 24 };
     static constexpr milliseconds traffic_log_interval { 10000 };
     // The VM's memory divided by this number is the limit of bytes buffered for peers. The rest is for the process
-    // itself, which takes 20 MB in a fleet of hundreds, and for the kernel's buffers of the same connections.
+    // itself, which takes 20 MB in a fleet of hundreds of routers, and for the kernel's buffers of the same
+    // connections.
     static constexpr std::size_t buffer_memory_divisor = 4;
     static constexpr milliseconds connect_timeout { 160 };
     // Callers may stay idle for seconds. Checking 1,600 of them 40 times a second took 9 % of a small VM's processor
@@ -153,7 +154,7 @@
     }
 
     // Opens the metrics server. Its failure does not stop the router: callers are served even if the metrics port is
-    // taken.
+    // in use.
     result<void> open_metrics()
     {
         if (m_settings.metrics_address.empty())
@@ -170,7 +171,7 @@
         if (m_stop.is_closing())
             return refuse_unparsed(connection, request, dispatch::refusal_reason::stopping, stopping_retry_delay);
         // The request is neither run nor buffered: what is already buffered is served first.
-        if (m_loop.held().is_over_limit())
+        if (m_loop.buffered().is_over_limit())
             return refuse_unparsed(
                 connection, request, dispatch::refusal_reason::memory_full, dispatch::default_retry_delay);
         dispatch::request_arrived arrived;
@@ -354,7 +355,7 @@
         m_probes.check_timeouts(now);
         process_events();
         m_connections.close_expired(now);
-        if (m_loop.held().is_over_limit())
+        if (m_loop.buffered().is_over_limit())
             disconnect_slow_readers();
         if (now - m_idle_callers_checked_at >= idle_caller_check_interval) {
             m_idle_callers_checked_at = now;
@@ -364,13 +365,13 @@
 
     void disconnect_slow_readers()
     {
-        auto const held = m_loop.held().held();
+        auto const buffered = m_loop.buffered().bytes();
         for (auto const& reader : m_callers.disconnect_slow_readers()) {
             log(logging::event_level::warning, "slow_reader_ended",
                 dispatch::log_fields()
                     .add("unread", reader.unread)
-                    .add("held", held)
-                    .add("limit", m_loop.held().limit())
+                    .add("held", buffered)
+                    .add("limit", m_loop.buffered().limit())
                     .take());
             m_metrics.add("shedhill_slow_readers_ended_total");
         }
@@ -433,8 +434,8 @@
         m_metrics.set("shedhill_store_unheard_ms", static_cast<double>(m_fleet_view.time_since_store_answer().count()));
         set_dispatch_gauges(m_metrics, m_reducer, m_loop.now());
         set_peer_gauges(m_metrics, m_fleet_view.traffic());
-        m_metrics.set("shedhill_held_bytes", static_cast<double>(m_loop.held().held()));
-        m_metrics.set("shedhill_held_bytes_limit", static_cast<double>(m_loop.held().limit()));
+        m_metrics.set("shedhill_held_bytes", static_cast<double>(m_loop.buffered().bytes()));
+        m_metrics.set("shedhill_held_bytes_limit", static_cast<double>(m_loop.buffered().limit()));
         set_log_gauges(m_metrics, m_log.counts());
         return m_metrics.to_text() + engines_text(m_reducer.engines())
             + held_endpoints_text(m_reducer.held_endpoints(m_loop.now()));
@@ -467,7 +468,8 @@
     bool m_is_processing_scheduled { false };
 
     bool m_is_ready { false };
-    // When this router began to send callers away because it is overloaded; the epoch while it does not.
+    // When this router began to send callers away because it is overloaded; the zero instant while it does
+    // not.
     instant m_sends_callers_away_since {};
     bool m_has_ended { false };
     relay::stop_sequence m_stop;
--- a/services/shedhilld/published_documents.h
+++ b/services/shedhilld/published_documents.h
@@ -21,11 +21,11 @@
 
     // Records that another router holds the reported version of the document while this router holds its own.
     void record_version(document_kind kind, std::uint64_t reported, std::uint64_t own, instant now);
-    // Returns for how long another router has been known to hold a newer version than the own one; 0 if none is known.
+    // Returns the time since another router first reported a newer version than the own one; 0 if none has.
     [[nodiscard]] milliseconds time_behind(document_kind kind, std::uint64_t own, instant now) const;
 
-    // Returns whether a newer version may be requested now. If so, records that it is requested from this router, to
-    // which the store confirmed it at that time.
+    // Returns whether a newer version may be requested now. If so, records that it is requested from `router`, to
+    // which the store confirmed it at `confirmed_at`.
     [[nodiscard]] bool try_request(document_kind kind, vm_name const& router, instant confirmed_at, instant now);
     // The router from which a document was last requested, and when the store had confirmed the document to it.
     [[nodiscard]] vm_name const& requested_router(document_kind kind) const { return state_of(kind).requested_router; }
--- a/services/shedhilld/router_daemon.cpp
+++ b/services/shedhilld/router_daemon.cpp
@@ -33,10 +33,10 @@
     return response;
 }
 
-std::string broken_stream_event(router::answer_end const& ended)
+std::string broken_stream_event(router::answer_end const& end)
 {
-    return "event: error\ndata: {\"error\":{\"type\":\"" + std::string(name_of(ended.why)) + R"(","outcome":")"
-        + std::string(name_of(ended.outcome)) + "\"}}\n\n";
+    return "event: error\ndata: {\"error\":{\"type\":\"" + std::string(name_of(end.why)) + R"(","outcome":")"
+        + std::string(name_of(end.outcome)) + "\"}}\n\n";
 }
 
 } // namespace
--- a/services/shedhilld/router_gauges.h
+++ b/services/shedhilld/router_gauges.h
@@ -10,8 +10,8 @@
 namespace shedhill::daemon {
 
 void set_dispatch_gauges(metrics::registry& registry, dispatch::dispatch_reducer& reducer, instant now);
-// Returns a sample for each engine and measure. The registry does not hold them, because it would keep engines that are
-// gone.
+// Returns a sample for each engine and measure. They are not set in the registry, which would go on to serve the last
+// samples of engines that were removed.
 std::string engines_text(std::vector<dispatch::engine_view> const& engines);
 // Returns a sample for each reason for which an endpoint gets no new work, or less of it: the remaining time in
 // milliseconds.
--- a/services/shedhilld/routers_table.h
+++ b/services/shedhilld/routers_table.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Maintains the table of routers at the store, which holds the address of each router. A router writes its own row
-// where it is missing, and removes the rows of routers that have not answered for a long time.
+// Maintains the table of routers at the store, which holds the address and the quarantined requests of each router. A
+// router writes its own row if it is missing or out of date, and removes the rows of routers that have been unreachable
+// for a long time.
 #pragma once
 
 #include "libraries/peering/peer_directory.h"
@@ -51,7 +52,7 @@
     {
         if (m_writer.is_calling() || now < m_next_write_at || !m_rows.watcher().has_rows())
             return;
-        if (is_own_row_missing())
+        if (is_own_row_outdated())
             write_own_row(now);
         else if (is_watching_store)
             remove_stale_row(now);
@@ -83,7 +84,7 @@
         m_directory.apply_table(members);
     }
 
-    [[nodiscard]] bool is_own_row_missing()
+    [[nodiscard]] bool is_own_row_outdated()
     {
         if (m_is_leaving)
             return false;
--- a/tests/relay/slow_readers_test.cpp
+++ b/tests/relay/slow_readers_test.cpp
@@ -3,7 +3,7 @@
 // limit.
 #include "libraries/relay/slow_readers.h"
 
-#include "libraries/relay/held_bytes.h"
+#include "libraries/relay/buffered_bytes.h"
 #include "libraries/relay/socket.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -39,36 +39,36 @@
             sending.adopt(ends[0]);
             sending.queue(std::string(total_size, 'x'));
             CPPUNIT_ASSERT(sending.flush());
-            CPPUNIT_ASSERT(loop.held().held() > total_size / 2);
-            CPPUNIT_ASSERT_EQUAL(sending.unwritten_size(), loop.held().held());
+            CPPUNIT_ASSERT(loop.buffered().bytes() > total_size / 2);
+            CPPUNIT_ASSERT_EQUAL(sending.unwritten_size(), loop.buffered().bytes());
             sending.close();
-            CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, loop.held().held());
+            CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, loop.buffered().bytes());
         }
         ::close(ends[1]);
     }
 
     void destroyed_owners_release_their_bytes()
     {
-        held_meter meter;
+        buffer_meter meter;
         meter.set_limit(megabyte);
         {
-            held_bytes first(meter);
-            held_bytes second(meter);
+            buffered_bytes first(meter);
+            buffered_bytes second(meter);
             first.set(megabyte);
             CPPUNIT_ASSERT(!meter.is_over_limit());
             second.set(1);
             CPPUNIT_ASSERT(meter.is_over_limit());
             first.set(megabyte / 2);
-            CPPUNIT_ASSERT_EQUAL(megabyte / 2 + 1, meter.held());
+            CPPUNIT_ASSERT_EQUAL(megabyte / 2 + 1, meter.bytes());
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, meter.held());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, meter.bytes());
     }
 
     void without_a_limit_nothing_exceeds_it()
     {
-        held_meter meter;
-        held_bytes held(meter);
-        held.set(100 * megabyte);
+        buffer_meter meter;
+        buffered_bytes buffered(meter);
+        buffered.set(100 * megabyte);
         CPPUNIT_ASSERT(!meter.is_over_limit());
     }
 
