--- a/libraries/dispatch/admission/answer_time_limit.cpp
+++ b/libraries/dispatch/admission/answer_time_limit.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Several hundred routers may share a few slots.
+// The limit never falls below this value. It is far below one, because several hundred routers may share a few slots.
 constexpr double min_limit = 0.05;
-// The limit rises by about a tenth of a request for each round of as many answers as it lets run at once; below one, by
-// a tenth of its value.
+// Each answer raises a limit of at least one by `increase` divided by the limit, so that it rises by about a tenth of a
+// request in the time of one answer. A lower limit rises by a tenth of its value, but by no less than min_increase.
 constexpr double increase = 0.1;
 constexpr double min_increase = 0.02;
 constexpr double decrease_factor = 0.85;
--- a/libraries/dispatch/admission/decaying_sum.h
+++ b/libraries/dispatch/admission/decaying_sum.h
@@ -3,7 +3,7 @@
 // which a whole burst leaves a window at once and the next burst is admitted. With plain windows, a large team received
 // its share in one second of four and nothing in the others: 36 of 450 intervals of six seconds gave a team less than
 // half of its entitlement, against none with this sum (ten teams, unequal engines, virtual time). On nine deployments
-// the worth of answers changed by +0.005 (18 pairs of days, -0.015 to +0.022).
+// the worth of answers, as meta/experiment.py reports it, changed by +0.005 (18 pairs of days, -0.015 to +0.022).
 #pragma once
 
 #include "base/units.h"
--- a/libraries/dispatch/admission/overload_guard.cpp
+++ b/libraries/dispatch/admission/overload_guard.cpp
@@ -16,19 +16,21 @@
 // A process that hardly ever waits is overloaded: incoming data then queues up where the router cannot observe it.
 constexpr double overloaded_busy_fraction = 0.94;
 constexpr double relaxed_busy_fraction = 0.85;
-// Data queued for a link above overloaded_link_fraction waits for more than a tenth of a second.
+// Above overloaded_link_fraction, data that is queued for the link waits for more than a tenth of a second.
 constexpr double newest_link_weight = 0.03;
 constexpr double overloaded_link_fraction = 0.8;
 constexpr double relaxed_link_fraction = 0.65;
 constexpr double rise_per_tick = 0.03;
 constexpr double fall_per_tick = 0.015;
 constexpr double max_refusal_fraction = 0.9;
-// Requests of teams past their share are refused first.
+// Requests of teams past their share are refused first: for them, the refused fraction is multiplied by these weights.
 constexpr double weight_past_share = 2;
 constexpr double weight_ahead = 4;
 // An overload that causes this fraction of refusals for this duration does not pass by itself.
 constexpr double lasting_refusal_fraction = 0.25;
 constexpr milliseconds min_overload_duration { 250 };
+// A router declares itself overloaded only if at most one of four routers is then overloaded, itself included, and if
+// the other routers have capacity: they are less busy than this on average.
 constexpr std::size_t routers_per_overloaded = 4;
 constexpr double max_others_busy_fraction = 0.7;
 constexpr milliseconds first_overload_period { 6000 };
--- a/libraries/dispatch/admission/overload_guard.h
+++ b/libraries/dispatch/admission/overload_guard.h
@@ -44,8 +44,8 @@
 
     // Updates whether this router declares itself overloaded, and returns whether that changed. Refusals do not help
     // where the same callers return to the same router. A router that has refused many requests for some time, while
-    // others have capacity, therefore takes no new callers for a period, which doubles if the overload returns soon. At
-    // most a fraction of the routers may be in this state at once.
+    // others have capacity, therefore accepts no new callers for a period, which doubles if the overload returns soon.
+    // At most a fraction of the routers may be in this state at once.
     bool update_overload_state(fleet_load const& fleet, instant now);
     // Returns the busy fraction of the process or of its link, whichever is larger.
     [[nodiscard]] double busy_fraction() const { return std::max(m_busy_fraction, m_link_fraction); }
--- a/libraries/dispatch/admission/retry_delay.cpp
+++ b/libraries/dispatch/admission/retry_delay.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// The usual delay is extended by a random time below this value.
 constexpr std::uint64_t retry_spread_ms = 900;
 // A caller returns to the same router, overloaded or not, until the load balancer has noticed that the router is
 // overloaded.
--- a/libraries/dispatch/admission/retry_delay.h
+++ b/libraries/dispatch/admission/retry_delay.h
@@ -14,7 +14,7 @@
     milliseconds objective { 0 };
     // Time left until the caller's deadline.
     milliseconds left { 0 };
-    // The router takes no new callers; another router should serve the caller.
+    // The router accepts no new callers; another router should serve the caller.
     bool is_router_overloaded { false };
     // Average delay, as a fraction of the objective, after which a caller that found no free slot retries.
     double early_fraction { 0 };
--- a/libraries/dispatch/admission/team_ledger.h
+++ b/libraries/dispatch/admission/team_ledger.h
@@ -31,13 +31,15 @@
     void apply_report(peer_report const& report, report_origin origin, instant now);
     void forget(report_source const& source);
 
-    // Recomputes the shares from the requests of all teams, at the throughput to which all together are entitled.
+    // Recomputes the share and the even level from what all teams requested. The share divides the configured
+    // throughput of all endpoints together; 0 means that it is unknown.
     void update_shares(token_count tokens_per_second, instant now);
     // Returns for how long the fleet's sums have been observed, up to the window.
     [[nodiscard]] milliseconds observed_span(instant now) const;
     // The tokens to which a team is entitled within the window or, if that is shorter, within the observed time plus an
     // initial span: routers that all start at once know nothing of admitted requests, and would admit a whole window's
-    // share of all teams at once. Unlimited until the first computation.
+    // share of all teams at once. Unlimited until the first computation, and while the throughput is unknown or
+    // meets all requests.
     [[nodiscard]] token_count share() const { return m_share; }
     // The level that each team with unmet demand would have if everything admitted within the window had been divided
     // by max-min fairness; unlimited where every team received what it requested.
--- a/libraries/dispatch/dispatch_admission.cpp
+++ b/libraries/dispatch/dispatch_admission.cpp
@@ -21,7 +21,7 @@
 // With more than few_waiting requests in the queue, events other than ticks try them at most once in this interval.
 constexpr milliseconds min_serving_interval { 5 };
 constexpr std::size_t few_waiting = 8;
-// The silence limit of an attempt: multiples of the route's objective before the answer begins, and of its pause
+// The silence limit of an attempt is a multiple of the route's objective before the answer begins and of its pause
 // objective after that, but not below the minimum.
 constexpr milliseconds min_silence_limit { 1000 };
 constexpr std::int64_t silence_limit_objectives = 4;
@@ -129,7 +129,7 @@
     choice.max_load = terms.max_load;
     choice.queueing_fraction = terms.queueing_fraction;
     choice.may_probe = request.retry != retry_mode::never && request.max_attempts > 1;
-    choice.suspect = spread_of(request);
+    choice.suspect = suspect_key_of(request);
     return m_board.choose(choice, step.now);
 }
 
@@ -164,7 +164,7 @@
     request.expected_ms = chosen.expected_ms;
     if (!chosen.is_in_time)
         return false;
-    // Another engine has cached much of the prompt and may have free capacity soon.
+    // The request waits, because another engine has cached much of the prompt and may have free capacity soon.
     if (chosen.redundant_prefill > max_redundant_prefill
         && step.now - request.arrived < terms_for(request, step).patience)
         return false;
@@ -315,8 +315,8 @@
 {
     if (suspicion_of(request, step) == suspicion::quarantined)
         return true;
-    if (auto const rest = m_board.all_backed_off_for(request.pool, request.regions, step.now))
-        return step.now + *rest > request.arrived + terms_for(request, step).max_wait;
+    if (auto const backoff = m_board.all_backed_off_for(request.pool, request.regions, step.now))
+        return step.now + *backoff > request.arrived + terms_for(request, step).max_wait;
     return !m_board.has_endpoints(request.pool, request.regions);
 }
 
--- a/libraries/dispatch/dispatch_outcomes.cpp
+++ b/libraries/dispatch/dispatch_outcomes.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+// The number of attempts without any byte sent after which the request may still be sent again.
 constexpr std::uint32_t max_failed_sends = 3;
 constexpr double percent = 100;
 constexpr std::uint16_t status_bad_gateway = 502;
@@ -240,8 +241,9 @@
     auto const* pool = m_routes.find_pool(request.pool);
     if (pool == nullptr)
         return;
-    auto const made = static_cast<token_count>(request.events_forwarded) * pool->tokens_per_event;
-    m_ledger.charge(request.account, step.now, request.cost.prompt + generated_token_weight * made - request.charged);
+    auto const generated = static_cast<token_count>(request.events_forwarded) * pool->tokens_per_event;
+    m_ledger.charge(
+        request.account, step.now, request.cost.prompt + generated_token_weight * generated - request.charged);
 }
 
 refusal_reason dispatch_reducer::reason_against_retry(active_request const& request, attempt_end end) const
--- a/libraries/dispatch/dispatch_reducer.cpp
+++ b/libraries/dispatch/dispatch_reducer.cpp
@@ -23,6 +23,8 @@
 // the parts that most requests share would fill the messages.
 constexpr milliseconds part_report_interval { 1000 };
 constexpr double percent = 100;
+// The intervals of periodic work: the checks for passed deadlines and silent peers, the removal of old prompt parts,
+// and the update of shares, rates and suspects.
 constexpr milliseconds deadline_interval { 40 };
 constexpr milliseconds parts_interval { 2000 };
 constexpr milliseconds shares_interval { 100 };
@@ -164,7 +166,7 @@
     m_board.apply_routers(listed, step.now);
 }
 
-report_origin dispatch_reducer::source_place_of(peer_report const& report) const
+report_origin dispatch_reducer::origin_of(peer_report const& report) const
 {
     bool const is_domain_peer = report.subject == report_subject::router && report.domain == m_options.domain;
     return is_domain_peer ? report_origin::own_domain : report_origin::elsewhere;
@@ -208,10 +210,10 @@
     if (m_peers.insert_or_assign(report.source(), state).second)
         step.effects.emplace_back(log_line { severity::debug, "peer_regained",
             log_fields().add("peer", report.source().value()).add("teller", report.peer.value()).take() });
-    auto const place = source_place_of(report);
-    m_ledger.apply_report(report, place, step.now);
-    m_board.apply_report(report, place, step.now);
-    if (place == report_origin::own_domain && step.now - m_domain_reported_at < max_domain_report_gap)
+    auto const origin = origin_of(report);
+    m_ledger.apply_report(report, origin, step.now);
+    m_board.apply_report(report, origin, step.now);
+    if (origin == report_origin::own_domain && step.now - m_domain_reported_at < max_domain_report_gap)
         m_domain_sent_parts.insert(m_domain_sent_parts.end(), report.parts.begin(), report.parts.end());
     m_retries.set_routers(std::max(other_routers() + 1, m_options.retries.routers));
 }
@@ -369,18 +371,18 @@
     return report;
 }
 
-void dispatch_reducer::record_sent_part(cached_part const& placed, step_context const& step)
+void dispatch_reducer::record_sent_part(cached_part const& sent, step_context const& step)
 {
-    auto* const endpoint = m_board.find(placed.endpoint);
+    auto* const endpoint = m_board.find(sent.endpoint);
     if (endpoint == nullptr)
         return;
-    auto const before = endpoint->prompt_cache.last_use(placed.part);
-    endpoint->prompt_cache.record_use(placed.part, step.now);
+    auto const before = endpoint->prompt_cache.last_use(sent.part);
+    endpoint->prompt_cache.record_use(sent.part, step.now);
     if (step.now - before < part_report_interval)
         return;
-    m_sent_parts.push_back(placed);
+    m_sent_parts.push_back(sent);
     if (step.now - m_domain_reported_at < max_domain_report_gap)
-        m_domain_sent_parts.push_back(placed);
+        m_domain_sent_parts.push_back(sent);
 }
 
 } // namespace shedhill::dispatch
--- a/libraries/dispatch/dispatch_reducer.h
+++ b/libraries/dispatch/dispatch_reducer.h
@@ -22,6 +22,7 @@
 namespace shedhill::dispatch {
 
 struct dispatch_options {
+    // The VM and the failure domain of this router.
     vm_name vm;
     failure_domain domain;
     region_map regions;
@@ -132,6 +133,7 @@
         std::optional<content_hash> content;
         // The crash record of the request when the running attempt was sent.
         crash_stamp stamp;
+        // Other attempts of the suspected request wait for the running one.
         bool is_trial { false };
         // The endpoint's failure is withheld. It becomes the answer if no other attempt follows.
         bool is_failure_withheld { false };
@@ -188,12 +190,17 @@
     // Updates the concurrency limit of a plain service's endpoint by the end of an attempt.
     void record_plain_service_end(
         active_request const& request, attempt_end end, attempt_verdict verdict, step_context const& step);
+    // Removes the attempt's work from its endpoint and records its verdict there. The verdict is null if the end says
+    // nothing about the endpoint.
     void end_attempt(active_request& request, attempt_verdict const* verdict, step_context& step);
+    // Replaces the expected cost that the team was charged by the cost of the tokens that were forwarded.
     void settle_charge(active_request& request, step_context& step);
     void retry_or_end(request_number number, active_request& request, attempt_end end, step_context& step);
+    // Returns none if the request may be sent again after this end of its attempt.
     [[nodiscard]] refusal_reason reason_against_retry(active_request const& request, attempt_end end) const;
     // Forwards the endpoint's failure as the answer.
     void forward_failure(request_number number, active_request& request, refusal_reason reason, step_context& step);
+    // Aborts the answer if a part of it was forwarded, and refuses the request otherwise.
     void end_failed(request_number number, active_request& request, refusal_reason reason, step_context& step);
     void refuse(request_number number, active_request& request, std::uint16_t status, refusal_reason reason,
         step_context& step);
@@ -205,8 +212,8 @@
     // Requests that may crash endpoints.
     [[nodiscard]] static request_identity identity_of(active_request const& request);
     [[nodiscard]] suspicion suspicion_of(active_request const& request, step_context const& step) const;
-    // Returns the number by which a suspect prefers other endpoints than other suspects do; 0 below two crashes.
-    [[nodiscard]] std::uint64_t spread_of(active_request const& request) const;
+    // Returns the key by which a suspect prefers other endpoints than other suspects do; 0 below two crashes.
+    [[nodiscard]] std::uint64_t suspect_key_of(active_request const& request) const;
     void begin_trial(active_request& request, step_context const& step);
     void end_trial(active_request& request);
     void record_broken_attempt(active_request const& request, step_context const& step);
@@ -218,10 +225,13 @@
     void quarantine(request_identity const& request, std::string_view source, step_context& step);
 
     [[nodiscard]] fleet_load load_of_fleet() const;
-    [[nodiscard]] report_origin source_place_of(peer_report const& report) const;
+    // Returns own_domain for a report that a router of this failure domain makes about itself, elsewhere for all
+    // others.
+    [[nodiscard]] report_origin origin_of(peer_report const& report) const;
     // Whether the report describes routers that are already counted: a router within the sums of its failure domain, or
     // this router's own failure domain, whose routers report singly.
     [[nodiscard]] bool is_already_counted(peer_report const& report) const;
+    // Removes the reports of single routers of the failure domain, whose sums replace them.
     void remove_router_sources(failure_domain const& domain, step_context& step);
     void remove_silent_peers(step_context& step);
     void record_first_event(active_request& request, endpoint_state& endpoint, step_context& step);
@@ -231,7 +241,8 @@
     void log_ended_backoffs(step_context& step);
     // Ends the attempts at instances that another instance of the same endpoint has replaced.
     void end_attempts_at_replaced_instances(step_context& step);
-    void record_sent_part(cached_part const& placed, step_context const& step);
+    // Records that the endpoint caches the part, and adds it to the next report unless it was reported recently.
+    void record_sent_part(cached_part const& sent, step_context const& step);
     void log_evacuation(failure_domain const& domain, std::string_view event, step_context& step);
     void update_ready(step_context& step);
     void stop_if_drained(step_context& step);
--- a/libraries/dispatch/dispatch_suspects.cpp
+++ b/libraries/dispatch/dispatch_suspects.cpp
@@ -20,7 +20,7 @@
     return m_suspects.suspicion_of(identity_of(request), step.now);
 }
 
-std::uint64_t dispatch_reducer::spread_of(active_request const& request) const
+std::uint64_t dispatch_reducer::suspect_key_of(active_request const& request) const
 {
     constexpr std::uint8_t crashes_to_spread = 2;
     if (m_suspects.is_empty() || !request.content)
@@ -106,9 +106,9 @@
 
 void dispatch_reducer::apply_crash_records(peer_report const& report, step_context& step)
 {
-    auto const place = source_place_of(report);
+    auto const origin = origin_of(report);
     for (auto const& record : report.crashes) {
-        if (m_suspects.merge(record, place, step.now))
+        if (m_suspects.merge(record, origin, step.now))
             quarantine(record.request, report.peer.value(), step);
     }
 }
--- a/libraries/dispatch/endpoints/cold_share.cpp
+++ b/libraries/dispatch/endpoints/cold_share.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+// The fraction of the limit that the shares of all routers add up to at most.
 constexpr double distributed_fraction = 0.5;
 
 } // namespace
--- a/libraries/dispatch/endpoints/cold_share.h
+++ b/libraries/dispatch/endpoints/cold_share.h
@@ -4,9 +4,9 @@
 // respect the limit. Each router divides the limit equally among the routers that it knows; the remainder goes to the
 // first routers by rendezvous hashing, so that all routers compute the same shares.
 //
-// Only half of the limit is distributed. Therefore two halves of a partitioned fleet that each believe the other gone,
-// or an old list and a new one with twice as many routers, together stay within the limit; a property test covers 2 to
-// 300 routers.
+// At most half of the limit is distributed. Therefore two halves of a partitioned fleet that each believe the other
+// gone, or an old list and a new one with twice as many routers, together stay within the limit; a property test covers
+// 2 to 300 routers.
 #pragma once
 
 #include "base/identifiers.h"
--- a/libraries/dispatch/endpoints/endpoint_board.cpp
+++ b/libraries/dispatch/endpoints/endpoint_board.cpp
@@ -392,9 +392,9 @@
         if (origin == report_origin::own_domain)
             state->domain_reported.unsent_sample += load.prefill;
     }
-    for (auto const& placed : report.parts) {
-        if (auto* state = find(placed.endpoint))
-            state->prompt_cache.record_use(placed.part, now);
+    for (auto const& cached : report.parts) {
+        if (auto* state = find(cached.endpoint))
+            state->prompt_cache.record_use(cached.part, now);
     }
 }
 
@@ -417,12 +417,12 @@
 
 std::vector<cached_part> endpoint_board::recent_parts(instant now) const
 {
-    std::vector<cached_part> placed;
+    std::vector<cached_part> cached;
     for (auto const& [name, state] : m_endpoints) {
         for (auto const part : state->prompt_cache.used_since(now - recent_use))
-            placed.push_back({ state->key, part });
+            cached.push_back({ state->key, part });
     }
-    return placed;
+    return cached;
 }
 
 std::vector<endpoint_load> endpoint_board::take_own_loads(report_scope scope)
--- a/libraries/dispatch/endpoints/endpoint_board.h
+++ b/libraries/dispatch/endpoints/endpoint_board.h
@@ -27,7 +27,7 @@
 
 namespace shedhill::dispatch {
 
-// The state of one endpoint that was last reported to other routers, and the prefill sample since that report.
+// The work at one endpoint that was last reported to other routers, and the prefill sample since that report.
 struct reported_load {
     engine_work work;
     prefill_sample unsent_sample;
@@ -178,8 +178,9 @@
     [[nodiscard]] bool is_evacuated(pool_name const& pool, region_bound const& regions = {}) const;
     [[nodiscard]] std::set<failure_domain> const& evacuated() const { return m_evacuated; }
     [[nodiscard]] std::size_t listed_endpoints() const { return m_by_name.size(); }
+    // Returns the number of known endpoint instances in the failure domain.
     [[nodiscard]] std::size_t endpoints_in(failure_domain const& domain) const;
-    // Returns the best endpoint for the request; its pointer is null if all are excluded, unlisted or ejected.
+    // Returns the best endpoint for the request; its pointer is null if none may receive it.
     [[nodiscard]] endpoint_choice choose(choice_request request, instant now);
     // The slots of those endpoints of the pool that are neither backing off nor ejected, and how many of these slots
     // are occupied.
@@ -304,7 +305,9 @@
     void expire_announced_states(instant now);
     void forget_name(endpoint_state const& state);
     struct cold_pool {
+        // The request rate that one endpoint of the pool sustains while it is cold; 0 means no bound.
         double per_second { 0 };
+        // The duration for which an endpoint is cold after its start.
         milliseconds cold_time { 0 };
     };
     [[nodiscard]] cold_pool const& cold_pool_of(pool_name const& pool) const;
@@ -343,10 +346,12 @@
     std::vector<endpoint_key> m_backing_off;
     // The latest end of any back-off; after it, nothing needs to be searched.
     instant m_last_backoff_end {};
+    // Moving average of the answer time of each pool of plain services.
     std::unordered_map<pool_name, double> m_service_time_ms;
     std::unordered_map<pool_name, pool_prefill_rate> m_pool_rates;
     std::unordered_map<pool_name, unreported_work> m_unreported;
     report_age m_report_age;
+    // The scarcity of each pool of engines as of the last update or choice, from 0 to 1.
     std::unordered_map<pool_name, double> m_scarcity;
     struct engine_kind {
         std::uint32_t tokens_per_event { 1 };
@@ -355,6 +360,7 @@
     };
     // Pools of engines, from the configuration.
     std::unordered_map<pool_name, engine_kind> m_engines;
+    // The configured throughput of all endpoints together, in weighted tokens; 0 means unknown.
     token_count m_tokens_per_second { 0 };
 };
 
--- a/libraries/dispatch/endpoints/endpoint_choice.cpp
+++ b/libraries/dispatch/endpoints/endpoint_choice.cpp
@@ -17,8 +17,10 @@
 
 // Assumed answer time of a plain service of which no answer has been measured.
 constexpr double first_service_time_ms = 40;
+// The weight of the newest answer in the moving average of answer times.
 constexpr double newest_weight = 0.1;
-// Far more than the differences between endpoints' other costs.
+// The maximum cost by which a suspected request prefers one endpoint to another. It far exceeds the differences between
+// endpoints' other costs.
 constexpr double suspect_spread_ms = 10000;
 
 std::uint64_t placement_key(request_cost const& cost)
--- a/libraries/dispatch/endpoints/endpoint_view.h
+++ b/libraries/dispatch/endpoints/endpoint_view.h
@@ -40,6 +40,8 @@
     return "cold";
 }
 
+// An endpoint that receives no new work or less than others, and one reason for that. The metric
+// shedhill_endpoint_held_ms contains one sample for each.
 struct held_endpoint {
     endpoint_name name;
     pool_name pool;
--- a/libraries/dispatch/engines/engine_prefill_rate.h
+++ b/libraries/dispatch/engines/engine_prefill_rate.h
@@ -69,8 +69,8 @@
     void update(pool_prefill_rate const& pool, instant now);
 
 private:
-    // Short enough that a slow engine is avoided, and tried again, within a few seconds. In a pool of fifty, an engine
-    // starts some thirty requests in that time.
+    // The half-life is short enough that a slow engine is avoided, and tried again, within a few seconds. In a pool of
+    // fifty, an engine starts some thirty requests in that time.
     static constexpr milliseconds half_life { 2000 };
 
     prefill_rate m_rate { half_life };
--- a/libraries/dispatch/engines/pool_prefill_rate.h
+++ b/libraries/dispatch/engines/pool_prefill_rate.h
@@ -33,8 +33,8 @@
 private:
     // Initial rate where no throughput is configured; a few first events correct it.
     static constexpr double default_tokens_per_ms = 50;
-    // Long enough for hundreds of first events, so that problems of one engine do not change the estimate for the
-    // others.
+    // The half-life is long enough for hundreds of first events, so that problems of one engine do not change the
+    // estimate for the others.
     static constexpr milliseconds half_life { 10000 };
 
     prefill_rate m_rate { half_life };
--- a/libraries/dispatch/engines/unreported_work.h
+++ b/libraries/dispatch/engines/unreported_work.h
@@ -42,7 +42,8 @@
         std::uint32_t others_running, std::uint32_t domain_peers_running, report_age const& age) const;
 
 private:
-    // Long enough for some tens of completed attempts at a router that receives a few requests per second.
+    // The half-life is long enough for some tens of completed attempts at a router that receives a few requests per
+    // second.
     static constexpr milliseconds half_life { 5000 };
 
     // Decaying sums over attempts that have ended. Without any, the estimate is 0.
--- a/libraries/dispatch/events.h
+++ b/libraries/dispatch/events.h
@@ -24,7 +24,7 @@
     request_cost cost;
     // The time until the caller's deadline; empty if the caller set none.
     std::optional<milliseconds> time_left;
-    // Set while the dispatcher suspects any request of crashing endpoints.
+    // The hash of the request; set while the dispatcher suspects any request of crashing endpoints.
     std::optional<content_hash> content {};
 };
 
@@ -129,7 +129,7 @@
 // Whether a report describes the router that sends it, or the sums of all routers of its failure domain.
 enum class report_subject { router, domain };
 
-// The key under which the state of a reporting router or failure domain is kept.
+// Identifies a reporting router or failure domain.
 using report_source = strong_type<std::string, struct report_source_tag>;
 
 // A report that one router sends to another.
--- a/libraries/dispatch/policy.h
+++ b/libraries/dispatch/policy.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: BSD-2-Clause
 // The weights and limits that admission and the choice of endpoints use. Each is a setting of the daemon, so that an
-// experiment can change it or switch a mechanism off; docs/DECISIONS.md describes the effect of each.
+// experiment can change it or switch a mechanism off; docs/DECISIONS.md describes the effect of each. Members are named
+// after their settings, in which "reading" stands for prefill, "memory" for the KV cache, "lead" for a team's excess
+// over the even level, and "keeping" for caching.
 #pragma once
 
 #include "libraries/dispatch/types.h"
--- a/libraries/dispatch/store/endpoint_roster.cpp
+++ b/libraries/dispatch/store/endpoint_roster.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // The time after the store's recovery within which a live endpoint restores its row.
-constexpr milliseconds max_return_time { 1900 };
+constexpr milliseconds max_restore_time { 1900 };
 
 bool contains(std::vector<endpoint_entry> const& entries, endpoint_name const& name)
 {
@@ -21,8 +21,8 @@
 bool endpoint_roster::apply_list(std::vector<endpoint_entry> listed, store_availability availability, instant now)
 {
     bool const has_outage = availability.is_unavailable
-        || (availability.recovered_at != instant {} && now < availability.recovered_at + max_return_time);
-    auto const until = (availability.is_unavailable ? now : availability.recovered_at) + max_return_time;
+        || (availability.recovered_at != instant {} && now < availability.recovered_at + max_restore_time);
+    auto const until = (availability.is_unavailable ? now : availability.recovered_at) + max_restore_time;
     auto const before = entries();
     if (has_outage) {
         for (auto const& entry : m_listed) {
--- a/libraries/dispatch/store/table_watcher.cpp
+++ b/libraries/dispatch/store/table_watcher.cpp
@@ -81,7 +81,7 @@
 void table_watcher::record_answer(instant now)
 {
     if (is_failing() && now - m_confirmed_at >= min_outage)
-        m_returned_at = now;
+        m_recovered_at = now;
     m_is_failing = false;
 }
 
--- a/libraries/dispatch/store/table_watcher.h
+++ b/libraries/dispatch/store/table_watcher.h
@@ -27,18 +27,22 @@
 struct call_terms {
     // The maximum time for which the store may hold its answer; 0 requests an immediate answer.
     milliseconds max_wait { milliseconds::max() };
+    // A paced call waits until min_interval has passed since the previous call; an urgent one is made at once.
     enum class urgency { paced, at_once } when { urgency::paced };
 };
 
 class table_watcher {
 public:
+    // A read returns one page of the complete table; a watch is a poll for the changes after a version.
     enum class call_kind { none, read, watch };
 
     struct next_call {
         call_kind kind { call_kind::none };
         // The key after which a paged read continues.
         std::string after_key;
+        // The version after which a watch requests changes.
         std::uint64_t since { 0 };
+        // The time for which the store may hold its answer.
         milliseconds wait { 0 };
     };
 
@@ -54,7 +58,10 @@
         bool is_removed { false };
     };
 
+    // Why a call failed. history_gone means that the store no longer has the changes after the requested version.
     enum class failure { no_answer, refused, history_gone };
+    // What a page or a report changed. A page that is older than the watcher's own rows, or a report that is not newer
+    // than them or lacks changes, is out_of_date and is not applied.
     enum class page_outcome { nothing_new, changed, out_of_date };
 
     explicit table_watcher(watch_options options)
@@ -117,7 +124,7 @@
     // Whether a call has failed and none has been answered since.
     [[nodiscard]] bool is_failing() const { return m_is_failing; }
     // Returns the time at which the store last answered again after an outage; the epoch if there was none.
-    [[nodiscard]] instant recovered_at() const { return m_returned_at; }
+    [[nodiscard]] instant recovered_at() const { return m_recovered_at; }
 
 private:
     void record_answer(instant now);
@@ -149,7 +156,7 @@
     instant m_next_at {};
     instant m_called_at {};
     instant m_confirmed_at {};
-    instant m_returned_at {};
+    instant m_recovered_at {};
     bool m_is_failing { false };
 };
 
--- a/libraries/dispatch/store/watch_terms.cpp
+++ b/libraries/dispatch/store/watch_terms.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A third of the bound between two polls of the endpoint list allows two successive polls to fail.
+// The polls of the endpoint list are at most a third of the bound apart, so that two successive polls may fail.
 constexpr std::int64_t list_calls_within_bound = 3;
 // Together with list_wait, this stays below the gap between confirmations that store_outage_watch expects.
 constexpr milliseconds max_list_poll_interval { 800 };
--- a/libraries/dispatch/suspects/crash_evidence.cpp
+++ b/libraries/dispatch/suspects/crash_evidence.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-// Bounds the kept attempts. Requests of further broken attempts are not suspected.
+// Bounds the number of stored attempts. Further broken attempts raise no suspicion against their requests.
 constexpr std::size_t max_attempts = 512;
 // An ending process may close its connections shortly before its listening port.
 constexpr milliseconds first_probe_after { 10 };
 constexpr milliseconds next_probe_after { 100 };
 // This number of accepted connections shows that the endpoint has not crashed.
 constexpr std::uint32_t accepted_to_clear = 2;
+// After this number of probes without an answer, the attempts are dropped and do not count as crashes.
 constexpr std::uint32_t max_unanswered = 3;
 
 } // namespace
--- a/libraries/dispatch/suspects/crash_suspects.cpp
+++ b/libraries/dispatch/suspects/crash_suspects.cpp
@@ -13,8 +13,11 @@
 // Bounds the size of the router's row in the store.
 constexpr std::size_t max_stored_quarantines = 64;
 constexpr std::uint8_t crashes_to_quarantine = 3;
+// Records with at least this number of crashes are repeated in each whole report.
 constexpr std::uint8_t crashes_to_repeat = 2;
+// The lifetime of a suspect's record, and the duration of a quarantine.
 constexpr milliseconds record_lifetime { 600000 };
+// The quarantine of a request that was answered while it was suspected.
 constexpr milliseconds short_quarantine { 10000 };
 // A cleared request keeps its record for this time, so that older reports about it are ignored.
 constexpr milliseconds cleared_lifetime { 30000 };
@@ -168,7 +171,7 @@
     return true;
 }
 
-bool crash_suspects::merge(crash_record const& received, report_origin place, instant now)
+bool crash_suspects::merge(crash_record const& received, report_origin origin, instant now)
 {
     if (received.left <= milliseconds(0))
         return false;
@@ -181,7 +184,7 @@
         entry.broken_at = now;
         // The sender reports the record to the other routers of its failure domain itself. Other failure domains
         // receive it from the delegate of this one.
-        entry.is_unreported_to_domains = place == report_origin::own_domain;
+        entry.is_unreported_to_domains = origin == report_origin::own_domain;
     }
     entry.was_answered |= received.was_answered;
     entry.peer_trial_until = std::max(entry.peer_trial_until, now + std::min(received.trial_left, trial_lifetime));
--- a/libraries/dispatch/suspects/crash_suspects.h
+++ b/libraries/dispatch/suspects/crash_suspects.h
@@ -61,7 +61,7 @@
     bool record_answer(request_identity const& request, instant now);
 
     // Merges a record that another router reported. Returns whether that quarantines the request.
-    bool merge(crash_record const& received, report_origin place, instant now);
+    bool merge(crash_record const& received, report_origin origin, instant now);
     // Merges a quarantine that this router stored before its restart. Returns whether the quarantine applies.
     bool restore(crash_record const& stored, instant now);
     // Returns the quarantines whose last crash this router counted, at most 64, in the order of their identities.
@@ -77,6 +77,7 @@
 private:
     struct record {
         crash_stamp stamp;
+        // The end of the record's lifetime, or of the quarantine.
         instant until {};
         // The time at which an attempt last broke off, or another router last reported a newer record.
         instant broken_at {};
--- a/libraries/dispatch/types.h
+++ b/libraries/dispatch/types.h
@@ -72,7 +72,9 @@
     std::uint32_t max_connections { 0 };
     // The number of requests that a model engine runs concurrently; 0 means that the pool is a plain service.
     std::uint32_t engine_slots { 0 };
+    // The KV cache capacity of one engine in tokens; 0 means unknown.
     token_count engine_kv_capacity { 0 };
+    // The number of generated tokens that one event of an engine's answer contains.
     std::uint32_t tokens_per_event { 1 };
     // The request rate that one endpoint of the pool sustains while it is cold; 0 means no bound.
     double cold_requests_per_second { 0 };
@@ -154,6 +156,8 @@
     [[nodiscard]] token_count weighted() const { return prompt + generated_token_weight * generated; }
 };
 
+// Why the router refuses a request, ends its answer early or does not retry it. Callers, the log and the metrics
+// receive the names.
 enum class refusal_reason {
     none,
     no_configuration,
@@ -164,19 +168,27 @@
     domains_evacuated,
     no_allowed_region,
     team_over_share,
+    // No endpoint had free capacity, or could start the request in time, within the request's maximum wait.
     no_place,
     deadline_passed,
     attempts_spent,
     retry_budget_spent,
+    // The request may have run and may not be sent again.
     answer_unknown,
+    // A part of the answer was forwarded, and no other endpoint can continue it.
     answer_broken,
+    // The route's time limit has passed; for deadline_passed, the caller's own deadline was earlier.
     time_limit,
     stopping,
     router_overloaded,
     prompt_too_large,
+    // All endpoints that may serve the request back off.
     endpoints_resting,
+    // The router has buffered as many bytes of requests and answers as its limit allows.
     memory_full,
+    // The request is suspected of crashing endpoints, and another attempt of it is not resolved yet.
     awaits_trial,
+    // The request is quarantined because it is suspected of crashing endpoints.
     crashes_endpoints,
     count,
 };
