--- a/base/hash.h
+++ b/base/hash.h
@@ -10,6 +10,7 @@
 
 namespace shedhill {
 
+// Returns the 64-bit xxHash (XXH64) of the text.
 std::uint64_t stable_hash(std::string_view text, std::uint64_t seed = 0);
 
 // Rendezvous (highest random weight) hashing: the candidate with the largest weight for a key is chosen.
@@ -24,7 +25,7 @@
 // distinguish its instances.
 endpoint_key key_of(endpoint_name const& endpoint, std::uint64_t instance);
 
-// The account that holds the service of a team in a pool.
+// Returns the account to which the service of a team in a pool is charged.
 account_id account_of(team_name const& team, pool_name const& pool);
 
 } // namespace shedhill
--- a/libraries/config/catalog.h
+++ b/libraries/config/catalog.h
@@ -46,9 +46,11 @@
 
     // Replaces all objects by those of a snapshot. Returns false, and changes nothing, if the snapshot is not newer.
     result<bool> load_snapshot(std::string_view text);
+    // Returns all objects and the revision as JSON, which load_snapshot() can load.
     [[nodiscard]] std::string snapshot() const;
 
     [[nodiscard]] revision current_revision() const { return m_revision; }
+    // The find functions return null if the object is not declared.
     [[nodiscard]] team const* find_team(team_name const& name) const;
     [[nodiscard]] team const* find_team_by_key_hash(std::string const& hash) const;
     [[nodiscard]] endpoint const* find_endpoint(endpoint_name const& name) const;
--- a/libraries/config/objects.cpp
+++ b/libraries/config/objects.cpp
@@ -12,7 +12,9 @@
 
 namespace {
 
+// In characters.
 constexpr std::size_t max_name_length = 100;
+// The number of hexadecimal digits of a SHA-256 hash.
 constexpr std::size_t key_hash_length = 64;
 constexpr std::uint32_t max_weight = 1000;
 constexpr std::uint32_t max_queue_bound = 100000;
--- a/libraries/config/objects.h
+++ b/libraries/config/objects.h
@@ -78,7 +78,7 @@
 // Parses a file that holds one declaration or a list of them. One invalid declaration makes the whole file invalid.
 result<std::vector<object>> parse_declarations(std::string_view text, std::string const& file);
 
-// The declared and the built-in labels, against which selectors are matched.
+// Returns the declared and the built-in labels, against which selectors are matched.
 label_map selectable_labels(team const& declared);
 label_map selectable_labels(endpoint const& declared);
 
--- a/libraries/diagnosis/request_trace.cpp
+++ b/libraries/diagnosis/request_trace.cpp
@@ -79,7 +79,8 @@
     parsed_line.vm = text_of(fields, "vm");
     parsed_line.event = text_of(fields, "event");
     for (auto const* name : { "unix_ms", "vm", "event", "id", "level" }) {
-        // A string under "level" is the level of the log line; a number is the team's service level and is kept.
+        // A string under "level" is the level of the log line; a number is the team's service level and remains a
+        // field.
         if (std::string_view(name) != "level" || fields["level"].is_string())
             fields.erase(name);
     }
--- a/libraries/diagnosis/request_trace.h
+++ b/libraries/diagnosis/request_trace.h
@@ -43,7 +43,7 @@
     void sort();
 
     [[nodiscard]] std::vector<trace_line> const& lines() const { return m_lines; }
-    // Returns nothing if no line tells how the request ended.
+    // Returns the cause of the request's end, or nothing if no line shows it.
     [[nodiscard]] std::optional<trace_cause> cause() const;
     [[nodiscard]] std::string to_text() const;
     [[nodiscard]] boost::json::value to_json() const;
--- a/libraries/edge/request_parser.cpp
+++ b/libraries/edge/request_parser.cpp
@@ -16,6 +16,7 @@
 constexpr std::string_view chat_target = "/v1/chat/completions";
 constexpr std::string_view services_prefix = "/services/";
 constexpr std::string_view bearer_prefix = "Bearer ";
+// In bytes.
 constexpr std::size_t max_idempotency_key_size = 200;
 constexpr std::int64_t max_deadline_ms = 3600000;
 // Headers of the caller that are forwarded to the endpoint. Other headers concern the caller's connection or the fleet.
--- a/libraries/endpoint/demand_board.cpp
+++ b/libraries/endpoint/demand_board.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Charges of this endpoint are kept for this time. Older ones are either included in every router's level, or the level
-// is too old to be corrected.
+// Charges of this endpoint are stored for this time. Older ones are either included in every router's level, or the
+// level is too old to be corrected.
 constexpr milliseconds charge_retention { 10000 };
 // An account whose level is lower than that of the drawn account by more than this number of expected requests is
 // chosen instead.
@@ -95,7 +95,7 @@
 // Adds the service that this endpoint has given since the router's level was computed. The router's own charges up to
 // the time of the offer are included in its level.
 std::int64_t demand_board::corrected_level(
-    account_id account, connection_id connection, standing_offer const& offer, instant now) const
+    account_id account, connection_id connection, received_offer const& offer, instant now) const
 {
     auto const found = m_charges.find(account);
     if (found == m_charges.end())
--- a/libraries/endpoint/demand_board.h
+++ b/libraries/endpoint/demand_board.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The standing offers of all connected routers, and the choice of the account that gets the next free slot.
+// The current offers of all connected routers, and the choice of the account that gets the next free slot.
 #pragma once
 
 #include "base/random_generator.h"
@@ -51,27 +51,31 @@
 
 private:
     // The latest offer entry of one router for one account.
-    struct standing_offer {
+    struct received_offer {
         wire::offer_entry entry;
         instant received_at {};
     };
 
+    // Service that this endpoint gave through the router of a connection.
     struct own_charge {
         instant at {};
         connection_id connection {};
         service_units amount {};
     };
 
+    // The charges of one account.
     struct charge_log {
+        // The latest charges, ordered by time.
         std::deque<own_charge> recent;
+        // The sum of all charges since the process started.
         service_units total {};
     };
 
-    using offers_by_router = std::map<connection_id, standing_offer>;
+    using offers_by_router = std::map<connection_id, received_offer>;
 
     [[nodiscard]] std::int64_t level_of(account_id account, offers_by_router const& offers, instant now) const;
     [[nodiscard]] std::int64_t corrected_level(
-        account_id account, connection_id connection, standing_offer const& offer, instant now) const;
+        account_id account, connection_id connection, received_offer const& offer, instant now) const;
     [[nodiscard]] account_id choose_account(random_generator& draw, instant now);
     [[nodiscard]] std::vector<account_id> best_tier() const;
 
--- a/libraries/endpoint/endpoint_reducer.cpp
+++ b/libraries/endpoint/endpoint_reducer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The number of accepted attempts that are kept for each router. A duplicate can only arrive soon after the original.
+// The number of accepted attempts that are stored for each router. A duplicate can only arrive soon after the original.
 constexpr std::size_t max_accepted_attempts = 4096;
 
 } // namespace
--- a/libraries/endpoint/endpoint_reducer.h
+++ b/libraries/endpoint/endpoint_reducer.h
@@ -35,7 +35,7 @@
     [[nodiscard]] std::size_t running_count() const { return m_running.size(); }
     // Returns the service that this endpoint has given to the account since the process started.
     [[nodiscard]] service_units service_total(account_id account) const { return m_board.total(account); }
-    // Returns the number of accounts with a standing offer.
+    // Returns the number of accounts that are offered by a router.
     [[nodiscard]] std::size_t demand_count() const { return m_board.account_count(); }
 
 private:
@@ -47,6 +47,7 @@
         account_id account {};
         chunk_sequence next_sequence {};
         instant started_at {};
+        // The service that is charged to the account for this attempt so far.
         service_units charged {};
         bool is_model_call { true };
         bool is_repeatable { true };
@@ -71,6 +72,7 @@
         // The attempts that were accepted. A duplicate of one is ignored: it must neither run again nor be reported as
         // not run.
         std::set<std::pair<request_number, attempt_number>> accepted;
+        // The same attempts in the order in which they were accepted; the oldest are removed first.
         std::deque<std::pair<request_number, attempt_number>> accepted_order;
     };
 
@@ -93,7 +95,7 @@
     // Ends a grant and reverts its charge.
     void release_grant(grant_number number, pending_grant const& unused);
     void grant_free_slots();
-    // Announces the free slots to a few routers if it has no offers.
+    // Announces the free slots to a few routers if there are any and no router has an offer.
     void announce_if_idle();
     void charge(attempt& running, service_units actual);
     void stop_if_drained();
@@ -114,6 +116,7 @@
     std::uint64_t m_last_call { 0 };
     bool m_is_draining { false };
     bool m_is_stopped { false };
+    // No slots are granted before this time, after a call that did not reach the engine.
     instant m_engine_retry_at {};
     milliseconds m_engine_backoff { 0 };
     instant m_announced_at {};
--- a/libraries/endpoint/events.h
+++ b/libraries/endpoint/events.h
@@ -22,6 +22,7 @@
     shedhill::revision revision {};
 };
 
+// A router's connection was closed or lost.
 struct connection_down {
     connection_id connection {};
 };
@@ -42,7 +43,7 @@
 struct engine_data {
     call_number call {};
     std::string data;
-    // The service of the call so far, in weighted tokens; zero for plain services, which are charged by time.
+    // The service of the call so far; zero for plain services, which are charged by time.
     service_units service {};
 };
 
@@ -62,6 +63,7 @@
 struct engine_ended {
     call_number call {};
     engine_end end { engine_end::cut };
+    // The service of the whole call; ignored for plain services, which are charged by time.
     service_units service {};
 };
 
--- a/libraries/net/address.h
+++ b/libraries/net/address.h
@@ -9,7 +9,7 @@
 
 namespace shedhill::net {
 
-// Does not resolve host names.
+// Parses an address of the form IP:PORT. Host names are not resolved.
 result<boost::asio::ip::tcp::endpoint> parse_address(std::string const& address);
 
 // Opens a listening socket. With port 0 the system assigns a free port.
--- a/libraries/net/fibers.h
+++ b/libraries/net/fibers.h
@@ -9,7 +9,7 @@
 
 namespace shedhill::net {
 
-// In bytes.
+// The stack size of a fiber in bytes.
 constexpr std::size_t fiber_stack_size = std::size_t { 96 } << 10;
 
 // Starts a detached fiber that runs when the current fiber suspends.
--- a/libraries/net/frame_connection.cpp
+++ b/libraries/net/frame_connection.cpp
@@ -20,6 +20,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
+// Sizes in bytes.
 constexpr std::size_t nonce_size = 16;
 constexpr std::size_t read_size = 16384;
 // The limit of unsent bytes in a connection's queue. A connection whose peer reads too slowly is aborted.
@@ -134,7 +135,8 @@
     if (!size)
         return fail("read frame", m_peer, size.error().reason);
     if (*size > m_frame_limit)
-        return fail("read frame", m_peer, "the frame exceeds the size limit that applies before the handshake");
+        return fail(
+            "read frame", m_peer, "the frame exceeds the limit of 4096 bytes that applies before the handshake");
     TRY_VOID(read_at_least(wire::length_prefix_size + *size));
     // NOTE: The verifier requires an aligned buffer, so that the frame is copied to a separate string.
     auto const frame = m_input.substr(m_input_used + wire::length_prefix_size, *size);
--- a/libraries/net/frame_connection.h
+++ b/libraries/net/frame_connection.h
@@ -23,11 +23,11 @@
 
 // Bytes and frames sent by this process, separated by content.
 struct traffic_counts {
-    // The size of frames that carry no part of a request or an answer.
+    // The size of all frames other than run, chunk and finished frames.
     std::uint64_t control_bytes { 0 };
     // The size of request bodies and answer data.
     std::uint64_t payload_bytes { 0 };
-    // The framing overhead of frames that carry request bodies or answer data.
+    // The size of run, chunk and finished frames without the request bodies and answer data.
     std::uint64_t forwarding_bytes { 0 };
     std::uint64_t frames { 0 };
 };
@@ -38,8 +38,9 @@
 public:
     explicit frame_connection(boost::asio::ip::tcp::socket socket, std::string peer_address);
 
-    // Exchanges hello and proof messages, by which each side proves that it holds the fleet's key. Returns the peer's
-    // hello, or an error if the peer does not hold the key or takes longer than three seconds. Suspends the fiber.
+    // Exchanges hello and proof messages, by which each side proves that it holds the fleet's key. The hello announces
+    // `current`, the latest revision that this process knows. Returns the peer's hello, or an error if the peer does
+    // not hold the key or takes longer than three seconds. Suspends the fiber.
     result<wire::hello> perform_handshake(process_identity const& self, handshake_side side, revision current);
 
     // Reads the next message. Returns an error if the connection ends or the frame is invalid. Suspends the fiber.
--- a/libraries/net/http_server.cpp
+++ b/libraries/net/http_server.cpp
@@ -236,8 +236,10 @@
             if (failure == asio::error::operation_aborted)
                 return;
             if (!failure) {
-                auto moved = std::make_shared<tcp::socket>(std::move(socket));
-                start_fiber([shared = m_shared, moved] { serve(std::move(*moved), shared->limits, shared->handle); });
+                auto shared_socket = std::make_shared<tcp::socket>(std::move(socket));
+                start_fiber([shared = m_shared, shared_socket] {
+                    serve(std::move(*shared_socket), shared->limits, shared->handle);
+                });
             }
             accept_next();
         });
--- a/libraries/operations/config_session.h
+++ b/libraries/operations/config_session.h
@@ -25,7 +25,8 @@
     committed,
     // The configuration already matched the desired objects.
     unchanged,
-    // Another commit changed the same objects concurrently; nothing was written.
+    // Another commit changed the same objects concurrently, or other commits preceded every attempt; nothing was
+    // written.
     raced,
     // It is unknown whether the change was accepted. Looking up its id answers this once the platform is available.
     unknown,
@@ -33,6 +34,8 @@
 
 struct submit_report {
     submit_state state { submit_state::unknown };
+    // The revision of the change if it was committed, otherwise the latest revision of the configuration that was
+    // loaded. It can be zero if the state is unknown.
     shedhill::revision revision {};
     std::string change_id;
     // Keys of objects that other commits changed while this change was being submitted.
--- a/libraries/router/claim_batcher.h
+++ b/libraries/router/claim_batcher.h
@@ -31,7 +31,8 @@
     // Queues the release of a claim whose request is proved not to have run.
     void release(table_service::claim claim);
 
-    // Sends the next batch if it is due. At most one batch is in flight, so a slow platform leads to larger batches.
+    // Sends the queued releases and the next batch of claims if they are due. At most one batch is in flight, so a slow
+    // platform leads to larger batches.
     void tick(step_context& step);
 
     // Matches the verdicts to the claims of the batch and forgets the batch. A claim without a verdict counts as
--- a/libraries/router/effects.h
+++ b/libraries/router/effects.h
@@ -105,12 +105,17 @@
     requests,
     answers_whole,
     grants_received,
+    // Grants that were answered with no_work.
     grants_without_work,
+    // Grants that were used by another account than the granted one.
     grants_moved,
     offers_sent,
+    // Chunks and results of attempts that are not current.
     chunks_ignored,
     changes_applied,
+    // Changes of objects of another partner, and snapshots that could not be loaded.
     changes_refused,
+    // Endpoints that were added to subsets.
     links_widened,
     reports_sent,
     count,
--- a/libraries/router/events.h
+++ b/libraries/router/events.h
@@ -37,6 +37,7 @@
     request_number request {};
 };
 
+// The handshake of a connection to another process succeeded.
 struct connection_up {
     connection_id connection {};
     vm_name vm;
@@ -49,10 +50,12 @@
     bool is_incoming { false };
 };
 
+// A connection was closed or lost.
 struct connection_down {
     connection_id connection {};
 };
 
+// An open_connection effect failed.
 struct connect_failed {
     vm_name vm;
 };
@@ -62,6 +65,7 @@
     wire::message message;
 };
 
+// The platform's VM list.
 struct vms_listed {
     std::vector<table_service::vm_record> vms;
 };
@@ -76,10 +80,12 @@
     shedhill::revision revision {};
 };
 
+// The configuration changes after the requested revision, in order of their revisions.
 struct changes_read {
     std::vector<table_service::numbered_change> changes;
 };
 
+// The configuration snapshot in the object store; empty if it could not be read.
 struct snapshot_read {
     std::string snapshot;
 };
--- a/libraries/router/link_table.h
+++ b/libraries/router/link_table.h
@@ -65,14 +65,15 @@
     {
     }
 
-    // Applies the platform's list. A VM that is no longer listed keeps its link while the link is up.
+    // Applies the platform's list. A VM that is no longer listed keeps its link while the link is connecting or up.
     list_change update_vms(std::vector<table_service::vm_record> const& vms, step_context& step);
 
     // Opens the connections that are wanted and whose back-off has ended.
     void connect_due(step_context& step);
 
-    // Returns the link of the VM, or null if the VM is unknown.
+    // Records that this router is connected to the VM. Returns the VM's link, or null if the VM is unknown.
     link* record_connected(connection_id connection, vm_name const& vm);
+    // Resets the link and schedules the next connection attempt after the back-off.
     void record_disconnected(link& broken, step_context& step);
     void record_connect_failure(vm_name const& vm, step_context& step);
 
@@ -83,8 +84,8 @@
 
     // Returns the endpoint links of a pool's subset, in order of rank.
     [[nodiscard]] std::vector<link*> subset(pool_name const& pool);
-    // Adds one endpoint to the subset of a pool. Returns whether it did: the pool needs another endpoint, and the
-    // previous widening has to be options::subset_widen_interval ago.
+    // Adds one endpoint to the subset of a pool. Returns false, and changes nothing, if can_widen() is false or the
+    // previous widening is less than options::subset_widen_interval ago.
     bool widen(pool_name const& pool, instant now);
     // Whether the subset of a pool is below its maximum size.
     [[nodiscard]] bool can_widen(pool_name const& pool) const;
@@ -93,7 +94,7 @@
 
     // Returns this router and the live routers of the platform's list, without those that cannot be reached.
     [[nodiscard]] std::vector<vm_name> live_routers() const;
-    // Keeps a connection to the VM from now on.
+    // Marks the link to the VM as wanted: connect_due() connects it now and whenever it has been lost.
     void mark_wanted(vm_name const& vm);
     // Returns the records of all VMs except this one.
     [[nodiscard]] std::vector<table_service::vm_record> records() const;
--- a/libraries/router/offer_planner.cpp
+++ b/libraries/router/offer_planner.cpp
@@ -60,8 +60,8 @@
         return left.is_free != right.is_free ? left.is_free : left.tie_breaker < right.tie_breaker;
     });
     for (auto const& [to, is_offered, is_free, tie_breaker] : candidates) {
-        // While fewer endpoints were offered than requests wait, each free endpoint gets an offer regardless of the
-        // spread.
+        // While fewer endpoints have an offer of the account than requests wait, each free endpoint gets one regardless
+        // of the spread.
         auto const is_due = offered_count < queue->spread || (is_free && offered_count < queue->waiting.size());
         if (is_offered || !is_due)
             continue;
@@ -107,7 +107,7 @@
         m_widen_due.erase(m_widen_due.begin());
         widen(account, step);
     }
-    refresh_moved_levels(step);
+    refresh_changed_levels(step);
 }
 
 void offer_planner::widen(account_id account, step_context& step)
@@ -248,7 +248,7 @@
 // endpoint without work needs it as well, to refuse a router that is partitioned from the platform. A level that was
 // not refreshed is corrected at the next grant: the router chooses the account again and sends the levels with the
 // request.
-void offer_planner::refresh_moved_levels(step_context& step)
+void offer_planner::refresh_changed_levels(step_context& step)
 {
     auto const seconds = static_cast<double>((step.now() - m_refresh_budget_updated_at).count()) / 1000.0;
     auto const rate = static_cast<double>(m_settings.refresh_bytes_per_second);
@@ -265,21 +265,21 @@
         auto const is_behind = to.last_sent_revision < m_catalog.current_revision();
         if (!is_offerable(to) || !to.pool || (to.offered.empty() && !is_behind))
             continue;
-        auto const moved = find_moved_accounts(to, step.now());
-        if (moved.empty() && !is_behind)
+        auto const outdated = find_outdated_accounts(to, step.now());
+        if (outdated.empty() && !is_behind)
             continue;
-        m_refresh_budget -= offer_overhead_bytes + offer_entry_bytes * static_cast<double>(moved.size());
-        send_offer(to, moved, step);
+        m_refresh_budget -= offer_overhead_bytes + offer_entry_bytes * static_cast<double>(outdated.size());
+        send_offer(to, outdated, step);
     }
 }
 
-std::vector<account_id> offer_planner::find_moved_accounts(link const& to, instant now) const
+std::vector<account_id> offer_planner::find_outdated_accounts(link const& to, instant now) const
 {
-    struct moved_account {
+    struct outdated_account {
         account_id account;
         std::int64_t distance;
     };
-    std::vector<moved_account> moved;
+    std::vector<outdated_account> outdated;
     for (auto const& [account, offered] : to.offered) {
         auto const* queue = m_queues.find(account);
         if (queue->waiting.empty())
@@ -287,12 +287,12 @@
         auto const level = m_ledger.level(account, queue->weight, now).level;
         auto const distance = std::abs(level - offered.entry.level) * static_cast<std::int64_t>(queue->weight);
         if (offered.remaining == 0 || distance > refresh_threshold_requests * expected_cost(account).value())
-            moved.push_back({ account, distance });
+            outdated.push_back({ account, distance });
     }
-    std::ranges::sort(moved, std::greater {}, &moved_account::distance);
+    std::ranges::sort(outdated, std::greater {}, &outdated_account::distance);
     std::vector<account_id> accounts;
-    accounts.reserve(moved.size());
-    for (auto const& [account, distance] : moved)
+    accounts.reserve(outdated.size());
+    for (auto const& [account, distance] : outdated)
         accounts.push_back(account);
     return accounts;
 }
@@ -312,7 +312,7 @@
     add(account);
     if (granted != account)
         add(granted);
-    for (auto const other : find_moved_accounts(to, now)) {
+    for (auto const other : find_outdated_accounts(to, now)) {
         if (entries.size() > m_settings.max_refreshes_per_run)
             break;
         if (other != account && other != granted)
--- a/libraries/router/offer_planner.h
+++ b/libraries/router/offer_planner.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// Decides which waiting accounts are offered to which endpoints, and which account uses a grant. An offer stands at an
-// endpoint until the router replaces it or a grant finds no work.
+// Decides which waiting accounts are offered to which endpoints, and which account uses a grant. An offer remains at an
+// endpoint until all its requests are granted, the router replaces it, or a grant finds no work.
 #pragma once
 
 #include "libraries/ledger/service_ledger.h"
@@ -65,9 +65,11 @@
     void send_offer(link& to, std::vector<account_id> const& accounts, step_context& step);
     // Returns the current offer entry for an account at an endpoint.
     [[nodiscard]] wire::offer_entry make_entry(account_id account, link const& to, instant now) const;
-    void refresh_moved_levels(step_context& step);
-    // Returns the accounts whose offers at the endpoint are exhausted or out of date, with the largest change first.
-    [[nodiscard]] std::vector<account_id> find_moved_accounts(link const& to, instant now) const;
+    // Sends changed levels and the revision in force to endpoints, as far as the byte budget allows.
+    void refresh_changed_levels(step_context& step);
+    // Returns the backlogged accounts whose offers at the endpoint are exhausted or whose levels have changed too much
+    // since they were sent, with the largest change first.
+    [[nodiscard]] std::vector<account_id> find_outdated_accounts(link const& to, instant now) const;
 
     options const& m_settings;
     config::catalog const& m_catalog;
--- a/libraries/router/options.h
+++ b/libraries/router/options.h
@@ -19,7 +19,8 @@
 
     // The number of endpoints of one pool that this router connects to.
     std::size_t subset_size { 12 };
-    // While work waits, the subset grows by one endpoint at a time up to this size.
+    // While work waits, the subset grows by one endpoint at a time, at most once per widening interval, up to this
+    // size.
     std::size_t max_subset_size { 48 };
     milliseconds subset_widen_interval { 500 };
     // The number of endpoints that a waiting account is offered to at first.
--- a/libraries/router/request_attempts.cpp
+++ b/libraries/router/request_attempts.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Whether a refusal is not a failure of the engine. After one the request is sent again regardless of the attempt limit
-// and the retry budget.
+// Whether a refusal has a cause other than a failure of the engine. After such a refusal the request is sent again
+// regardless of the attempt limit and the retry budget.
 bool is_free_to_retry(wire::reason why)
 {
     return why == wire::reason::stale_revision || why == wire::reason::endpoint_draining
--- a/libraries/router/service_reporter.cpp
+++ b/libraries/router/service_reporter.cpp
@@ -16,7 +16,7 @@
 constexpr double account_entry_bytes = 32;
 // The size in bytes of the frames, vtables and lengths of a report and its reading.
 constexpr double exchange_overhead_bytes = 128;
-// Stands for this process as the aggregator of its own accounts.
+// Represents this process as the aggregator of accounts; it is not the id of a real connection.
 constexpr connection_id own_connection {};
 
 } // namespace
--- a/libraries/router/work_queues.h
+++ b/libraries/router/work_queues.h
@@ -38,7 +38,7 @@
     [[nodiscard]] account_queue const* find(account_id account) const;
 
     void push_back(account_id account, request_number request);
-    // Returns a request that is to be sent again to the head of its queue.
+    // Inserts a request that is to be sent again at the head of its queue.
     void push_front(account_id account, request_number request);
     void remove(account_id account, request_number request);
     // Removes the first request. The queue must not be empty.
--- a/libraries/settings/setting_table.h
+++ b/libraries/settings/setting_table.h
@@ -12,6 +12,8 @@
 
 namespace shedhill::settings {
 
+// The values of a table's settings by name. text() and number() throw std::out_of_range for a name that the table does
+// not have with that type.
 class setting_values {
 public:
     [[nodiscard]] std::string const& text(std::string const& name) const { return m_texts.at(name); }
@@ -37,15 +39,17 @@
     }
 
     void add_text(std::string const& name, std::string const& fallback, std::string const& help);
-    // The value must be one of the choices; the first choice is the default.
+    // Adds a setting whose value is one of the choices; the first choice is the default.
     void add_choice(std::string const& name, std::vector<std::string> const& choices, std::string const& help);
-    // A whole number from min to max.
+    // Adds a setting whose value is a whole number from min to max.
     void add_number(
         std::string const& name, std::int64_t fallback, std::int64_t min, std::int64_t max, std::string const& help);
-    // A flag without a value, which has no environment variable.
+    // Adds a flag without a value. It has no environment variable.
     void add_flag(std::string const& name, std::string const& help);
+    // Accepts arguments without a flag name, which setting_values::positional() returns.
     void allow_positional() { m_has_positional = true; }
 
+    // Returns an error if an argument is unknown or a value does not match its setting.
     [[nodiscard]] result<setting_values> parse(int count, char const* const* arguments) const;
     [[nodiscard]] std::string help() const;
 
--- a/libraries/table_service/http_platform.cpp
+++ b/libraries/table_service/http_platform.cpp
@@ -13,6 +13,7 @@
 
 constexpr std::uint16_t status_ok = 200;
 constexpr std::uint16_t status_conflict = 409;
+// The most transactions by which one call of write_claims() writes its claims.
 constexpr int max_claim_rounds = 4;
 constexpr std::uint64_t max_changes_per_read = 512;
 constexpr char const* head_key = "config/head";
@@ -267,10 +268,10 @@
     auto const answer = TRY(post("write table", "/v1/transaction",
         { { "if", std::move(conditions) }, { "put", std::move(puts) }, { "delete", std::move(removals) } }));
     auto const* members = answer.if_object();
-    auto const* made = members == nullptr ? nullptr : members->if_contains("made");
-    if (made == nullptr || !made->is_bool())
+    auto const* committed_member = members == nullptr ? nullptr : members->if_contains("made");
+    if (committed_member == nullptr || !committed_member->is_bool())
         return fail("write table", m_address, "the answer has no boolean member 'made'");
-    return made->as_bool();
+    return committed_member->as_bool();
 }
 
 void http_platform::resolve_from_stored_rows(std::vector<claim> const& claims, std::vector<claim_verdict>& verdicts)
--- a/libraries/table_service/http_platform.h
+++ b/libraries/table_service/http_platform.h
@@ -20,7 +20,8 @@
     committed,
     // The head was not at the expected revision; nothing was written.
     raced,
-    // The platform could not be read or the answer was lost, and looking up the change failed as well.
+    // Either the head could not be read and nothing was written, or the write's answer does not prove its result and
+    // the change was not found by its id. In the second case the change may have been written.
     unknown,
 };
 
@@ -89,8 +90,9 @@
     // Removes the row of each claim if it still holds the claim's id.
     result<void> release_claims(std::vector<claim> const& claims);
     result<std::vector<vm_record>> list_vms();
-    // Returns nothing if the list is unchanged since this object last read it.
+    // Returns the platform's VM list, or nothing if the list is unchanged since this object last read it.
     result<std::optional<std::vector<vm_record>>> list_vms_if_changed();
+    // Reads and writes an object of the platform's object store.
     result<std::string> get_object(std::string const& name);
     result<void> put_object(std::string const& name, std::string const& content);
 
--- a/libraries/wire/messages.h
+++ b/libraries/wire/messages.h
@@ -14,6 +14,7 @@
 
 enum class process_role : std::uint8_t { router, endpoint };
 
+// A leaving VM is about to stop: an endpoint on it receives no new offers, and a router on it aggregates no accounts.
 enum class vm_state : std::uint8_t { live, leaving };
 
 // One entry of the platform's VM list. The list lags behind the actual state of the VMs.
@@ -36,6 +37,7 @@
     process_role role { process_role::router };
     process_epoch epoch {};
     std::string nonce;
+    // The latest revision of the configuration that the sender knows.
     shedhill::revision revision {};
     bool operator==(hello const&) const = default;
 };
@@ -54,7 +56,7 @@
     service_units expected_cost {};
     // The number of waiting requests. Zero withdraws the offer.
     std::uint32_t waiting { 0 };
-    // The age of the fleet-wide part of the level.
+    // The age of the other routers' charges that the level includes.
     milliseconds level_age { 0 };
     std::uint32_t weight { 1 };
     // Lower tiers are served first. At an endpoint with own-first priority, other partners' teams are in tier 1.
@@ -62,22 +64,29 @@
     bool operator==(offer_entry const&) const = default;
 };
 
+// A router's demand at one endpoint. Each entry replaces the router's earlier offer of the same account. An offer
+// without entries announces only the router's revision.
 struct offer {
     shedhill::revision revision {};
     std::vector<offer_entry> entries;
     bool operator==(offer const&) const = default;
 };
 
+// The endpoint withdraws all offers of the router, because it is draining or the router's revision is stale.
 struct offer_refused {
     reason why { reason::none };
+    // The latest revision that the endpoint has received.
     shedhill::revision revision {};
     bool operator==(offer_refused const&) const = default;
 };
 
+// Announces an endpoint's slots. It is sent to each router that connects, to all routers when a drain starts, and to a
+// few routers while the endpoint has free slots and no offers.
 struct endpoint_state {
     std::uint32_t slots { 0 };
     std::uint32_t free_slots { 0 };
     bool is_draining { false };
+    // The latest revision that the endpoint has received.
     shedhill::revision revision {};
     bool operator==(endpoint_state const&) const = default;
 };
@@ -89,7 +98,8 @@
     bool operator==(grant const&) const = default;
 };
 
-// The router has no request for a grant; the endpoint releases the reserved slot.
+// The router has no request for a grant. The endpoint releases the reserved slot and withdraws the router's offer of
+// the granted account.
 struct no_work {
     grant_number number {};
     bool operator==(no_work const&) const = default;
@@ -114,6 +124,7 @@
     // Whether the endpoint is a model engine, whose service is measured in tokens. The service of a plain service is
     // measured in time.
     bool is_model_call { true };
+    // The time until the request's deadline.
     milliseconds time_left { 0 };
     shedhill::revision revision {};
     // The account that is charged for the request, and the request's expected cost.
@@ -130,16 +141,19 @@
     request_number request {};
     attempt_number attempt {};
     reason why { reason::none };
+    // The latest revision that the endpoint has received.
     shedhill::revision revision {};
     bool operator==(refused const&) const = default;
 };
 
+// The router does not need the rest of an attempt's answer. The endpoint sends no more messages about the attempt.
 struct cancel {
     request_number request {};
     attempt_number attempt {};
     bool operator==(cancel const&) const = default;
 };
 
+// A part of the answer of an attempt.
 struct chunk {
     request_number request {};
     attempt_number attempt {};
@@ -153,6 +167,7 @@
     bool operator==(chunk const&) const = default;
 };
 
+// The last message about an attempt that the endpoint has started.
 struct finished {
     request_number request {};
     attempt_number attempt {};
@@ -161,7 +176,7 @@
     run_outcome outcome { run_outcome::unknown };
     reason why { reason::none };
     service_units service {};
-    // The number of slots for which the endpoint has no demand.
+    // The number of free slots if the endpoint has no offers, otherwise 0.
     std::uint32_t free_slots { 0 };
     bool operator==(finished const&) const = default;
 };
@@ -173,7 +188,7 @@
     bool operator==(account_value const&) const = default;
 };
 
-// A router's report to the aggregator of some accounts. All amounts are cumulative since the start of the reporter's
+// A router's report to the aggregator of some accounts. The values are cumulative since the start of the reporter's
 // epoch, so that late, duplicate or reordered reports have no effect.
 struct service_report {
     process_epoch epoch {};
@@ -188,9 +203,9 @@
     bool operator==(service_report const&) const = default;
 };
 
-// The aggregator's answer: for each account the service charged by all routers except the one that asked.
+// The aggregator's answer: for each reported account the service charged by all routers except the reporter.
 struct service_reading {
-    // The epoch of the reporter that asked. The amounts are not valid for a later epoch of that reporter.
+    // The reporter's epoch, copied from its report. The amounts are not valid for a later epoch of that reporter.
     process_epoch epoch {};
     std::vector<account_value> others;
     bool operator==(service_reading const&) const = default;
--- a/libraries/wire/reasons.h
+++ b/libraries/wire/reasons.h
@@ -24,6 +24,7 @@
     // Refusals by the router, before anything was sent to an endpoint.
     unknown_key,
     bad_request,
+    // An exception in this group: a withheld answer exceeds its size limit, after the attempt was sent.
     body_too_large,
     missing_idempotency_key,
     no_allowed_endpoint,
@@ -46,7 +47,9 @@
     chunk_gap,
     stalled,
     deadline_while_running,
+    // The caller closed its connection; the request may have been waiting or running.
     caller_gone,
+    // An attempt did not run, and the request is not sent again.
     retry_budget_spent,
     attempts_spent,
     count,
--- a/meta/prove.sh
+++ b/meta/prove.sh
@@ -13,9 +13,9 @@
 # Arguments: a description of the mechanism, its file, the sed expression that disables it, the name of the test.
 without() {
     local mechanism=$1 file=$2 expression=$3 test=$4
-    cp "$scratch/$file" "$scratch/kept"
+    cp "$scratch/$file" "$scratch/original"
     sed -i "$expression" "$scratch/$file"
-    if cmp -s "$scratch/kept" "$scratch/$file"; then
+    if cmp -s "$scratch/original" "$scratch/$file"; then
         echo "STALE    $mechanism: the expression changes nothing in $file"
         missed=$((missed + 1))
         return
@@ -29,7 +29,7 @@
     else
         echo "fails    without $mechanism: $test"
     fi
-    cp "$scratch/kept" "$scratch/$file"
+    cp "$scratch/original" "$scratch/$file"
 }
 
 flow=libraries/router/request_flow.cpp
--- a/utilities/benchmarks/dispatch_bench.cpp
+++ b/utilities/benchmarks/dispatch_bench.cpp
@@ -16,6 +16,7 @@
 using namespace shedhill::dispatch;
 
 constexpr std::size_t teams = 16;
+// The number of different second prompt parts. Requests with the same second part can share a cached prefix.
 constexpr std::size_t subjects = 160;
 constexpr token_count entitled_tokens_per_second_and_engine = 45000;
 
--- a/utilities/benchmarks/fleet_bench.cpp
+++ b/utilities/benchmarks/fleet_bench.cpp
@@ -143,6 +143,7 @@
     }
 }
 
+// A configuration of the fleet under backlog; the plan "product" is the default configuration.
 struct backlog_plan {
     std::string name;
     std::vector<std::string> router_settings;
@@ -291,14 +292,14 @@
     }
     net::process_io_context();
     std::cout << std::fixed << std::setprecision(2);
-    auto const is_wanted
+    auto const is_selected
         = [&](std::string const& part) { return values->text("only") == "all" || values->text("only") == part; };
-    if (is_wanted("latency"))
+    if (is_selected("latency"))
         bench_latency();
-    if (is_wanted("idle"))
+    if (is_selected("idle"))
         bench_idle();
-    if (is_wanted("streams"))
+    if (is_selected("streams"))
         bench_streams();
-    if (is_wanted("backlog"))
+    if (is_selected("backlog"))
         bench_backlog(static_cast<std::size_t>(values->number("routers")), static_cast<int>(values->number("seconds")));
 }
--- a/utilities/benchmarks/policy_bench.cpp
+++ b/utilities/benchmarks/policy_bench.cpp
@@ -20,6 +20,7 @@
     std::function<void(joined::load_plan&)> change;
 };
 
+// The variant "product" is the default configuration; the other variants differ from it in what their names describe.
 std::vector<variant> variants()
 {
     auto const choose = [](endpoint::choice_policy policy) {
--- a/utilities/shedhill/main.cpp
+++ b/utilities/shedhill/main.cpp
@@ -12,7 +12,8 @@
     settings::setting_table table("shedhill");
     table.add_text("platform", "127.0.0.1:7300",
         "The address (IP:PORT) of the platform, which serves the table, the object store and the VM list.");
-    table.add_text("partner", "", "The partner whose objects are changed and for which you are signed in.");
+    table.add_text(
+        "partner", "", "The partner whose objects are changed; the tool records it as the author of the change.");
     table.add_choice("output", { "text", "json" }, "The output format.");
     table.add_flag("prune", "For apply and diff: removes the partner's objects that the files do not declare.");
     table.add_flag("help", "Prints this text.");
