--- a/meta/prove.sh
+++ b/meta/prove.sh
@@ -37,7 +37,7 @@
 refusals=libraries/router/refusals.cpp
 endpoint=libraries/endpoint/endpoint_reducer.cpp
 without "the rule that a request that is not repeatable is not sent again" $attempts \
-    's/failed.caller.is_repeatable \&\& //' what_may_not_be_repeated
+    's/failed.caller.is_repeatable \&\& //' a_non_repeatable_request_is_not_sent_again
 without "the check for gaps between chunks" $flow \
     's/if (received.sequence > receiver->next_sequence)/if (false)/; s/if (received.sequence != ended->next_sequence)/if (false)/' \
     an_answer_with_a_gap
@@ -46,7 +46,7 @@
     a_repeat_that_is_refused
 without "the same rule, under the fuzzer" $refusals \
     's/return is_known ? wire::run_outcome::not_run : wire::run_outcome::unknown;/return wire::run_outcome::not_run;/' \
-    promises_hold
+    guarantees_hold
 without "the retry budget" $attempts 's/if (!may_repeat || !m_retries.spend())/if (!may_repeat)/' retries_are_bounded
 without "the stall limit" $flow 's/open.phase == request_phase::running \&\& step.now() - open.last_progress > limit/false/' \
     a_frozen_endpoint
--- a/tests/diagnosis/request_trace_test.cpp
+++ b/tests/diagnosis/request_trace_test.cpp
@@ -68,7 +68,7 @@
         fleet.start({ driver::make_endpoint("e1", "plain") });
         auto const first = fleet.ask("/look/x");
         auto const sent = fleet.sent_for(first).back();
-        fleet.take(
+        fleet.deliver(
             dispatch::endpoint_notice_received { first, sent.endpoint, sent.instance, { milliseconds(2000), false } });
         fleet.end(first, dispatch::attempt_end::not_run, 503);
         fleet.wait(milliseconds(500));
@@ -85,7 +85,7 @@
         dispatch::peer_report report;
         report.peer = vm_name("router-b");
         report.crashes = { { { key_of(team_name("red")), content_hash(77) }, { 0, 3 }, milliseconds(1000), {} } };
-        fleet.take(report);
+        fleet.deliver(report);
         dispatch::request_arrived arrived;
         arrived.request = request_number(1);
         arrived.caller_id = "id-1";
@@ -93,7 +93,7 @@
         arrived.path = "/look/x";
         arrived.key = "red-key";
         arrived.content = content_hash(77);
-        fleet.take(std::move(arrived));
+        fleet.deliver(std::move(arrived));
         CPPUNIT_ASSERT(cause_contains(trace_of(fleet, "id-1"),
             "refused with 503 (crashes_endpoints): endpoints crashed during its last 3 consecutive attempts; "
             "the events request_crashed_endpoint with content 77 name them"));
@@ -105,7 +105,8 @@
         fleet.start({ driver::make_endpoint("e1", "model") });
         auto const request = fleet.ask("/once/");
         fleet.begin(request);
-        fleet.take(dispatch::attempt_ended { request, attempt_number(1), dispatch::attempt_end::broken, 200, 5, true });
+        fleet.deliver(
+            dispatch::attempt_ended { request, attempt_number(1), dispatch::attempt_end::broken, 200, 5, true });
         auto const trace = trace_of(fleet, "id-1");
         CPPUNIT_ASSERT(cause_contains(trace, "attempt 1 at endpoint e1 ended as broken"));
         CPPUNIT_ASSERT(cause_contains(trace, "5 events; broken off (answer_broken)"));
--- a/tests/dispatch/cold_endpoints_test.cpp
+++ b/tests/dispatch/cold_endpoints_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(an_endpoint_may_become_cold_again);
     CPPUNIT_TEST(a_new_endpoint_counts_as_cold_whatever_its_row_says);
     CPPUNIT_TEST(an_endpoint_of_the_first_list_is_cold_according_to_its_row);
-    CPPUNIT_TEST(endpoints_of_a_restored_domain_count_as_cold);
+    CPPUNIT_TEST(endpoints_count_as_cold_after_an_evacuation);
     CPPUNIT_TEST(a_pool_without_a_bound_is_not_limited);
     CPPUNIT_TEST(requests_beyond_the_allowance_are_refused_with_a_retry_delay);
     CPPUNIT_TEST_SUITE_END();
@@ -38,10 +38,10 @@
         auto configuration = driver::usual_configuration();
         configuration.pools[1].cold_requests_per_second = cold_requests_per_second;
         configuration.pools[1].cold_time = cold_time;
-        fleet.take(configuration_received { configuration });
-        fleet.take(routers_listed { { "a:1", "b:1", "c:1" }, "a:1" });
+        fleet.deliver(configuration_received { configuration });
+        fleet.deliver(routers_listed { { "a:1", "b:1", "c:1" }, "a:1" });
         fleet.wait(cold_period::window);
-        fleet.take(endpoints_listed { std::move(endpoints) });
+        fleet.deliver(endpoints_listed { std::move(endpoints) });
     }
 
     // Sends twelve requests and returns how many of them are sent to the endpoint without a wait.
@@ -75,7 +75,7 @@
     {
         driver fleet;
         start(fleet, { make_plain("e1", cold_time) });
-        fleet.take(endpoints_listed { { make_plain("e1") } });
+        fleet.deliver(endpoints_listed { { make_plain("e1") } });
         CPPUNIT_ASSERT(count_sent_to(fleet, "e1") > own_allowance);
     }
 
@@ -84,7 +84,7 @@
         driver fleet;
         start(fleet, { make_plain("e1", cold_time) });
         fleet.wait(cold_time - milliseconds(100));
-        fleet.take(endpoints_listed { { make_plain("e1", cold_time), make_plain("e2") } });
+        fleet.deliver(endpoints_listed { { make_plain("e1", cold_time), make_plain("e2") } });
         fleet.wait(milliseconds(110));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.reducer().cold_endpoints(fleet.now()));
     }
@@ -94,7 +94,7 @@
         driver fleet;
         start(fleet, { make_plain("e1") });
         CPPUNIT_ASSERT(count_sent_to(fleet, "e1") > own_allowance);
-        fleet.take(endpoints_listed { { make_plain("e1", milliseconds(1200)) } });
+        fleet.deliver(endpoints_listed { { make_plain("e1", milliseconds(1200)) } });
         CPPUNIT_ASSERT_EQUAL(own_allowance, count_sent_to(fleet, "e1"));
     }
 
@@ -102,7 +102,7 @@
     {
         driver fleet;
         start(fleet, { make_plain("e1") });
-        fleet.take(endpoints_listed { { make_plain("e2") } });
+        fleet.deliver(endpoints_listed { { make_plain("e2") } });
         CPPUNIT_ASSERT_EQUAL(own_allowance, count_sent_to(fleet, "e2"));
         fleet.wait(cold_time);
         CPPUNIT_ASSERT(count_sent_to(fleet, "e2") > own_allowance);
@@ -115,13 +115,13 @@
         CPPUNIT_ASSERT(count_sent_to(fleet, "e1") > own_allowance);
     }
 
-    void endpoints_of_a_restored_domain_count_as_cold()
+    void endpoints_count_as_cold_after_an_evacuation()
     {
         driver fleet;
         start(fleet, { make_plain("e1") });
-        fleet.take(domains_evacuated { { failure_domain("north") } });
+        fleet.deliver(domains_evacuated { { failure_domain("north") } });
         fleet.wait(milliseconds(5000));
-        fleet.take(domains_evacuated {});
+        fleet.deliver(domains_evacuated {});
         CPPUNIT_ASSERT_EQUAL(own_allowance, count_sent_to(fleet, "e1"));
     }
 
--- a/tests/dispatch/crash_fleet_test.cpp
+++ b/tests/dispatch/crash_fleet_test.cpp
@@ -24,9 +24,13 @@
     CPPUNIT_TEST(nothing_is_sent_after_the_third_crash_under_random_faults);
     CPPUNIT_TEST_SUITE_END();
 
+    // Content of a request that crashes each endpoint which runs it.
     static inline content_hash const harmful { 666 };
+    // Content of a harmless request that callers send every ten milliseconds, so that it is in flight at every fault.
     static inline content_hash const hot { 1 };
+    // Time in which the routers receive the report of the third crash.
     static constexpr milliseconds propagation_time { 3000 };
+    // Harmful requests that may still reach endpoints after this time.
     static constexpr std::size_t max_sent_after_third = 3;
     // Time after the last fault in which endpoints have restarted and short quarantines have ended.
     static constexpr milliseconds recovery_time { 11800 };
--- a/tests/dispatch/crash_simulation.cpp
+++ b/tests/dispatch/crash_simulation.cpp
@@ -13,6 +13,7 @@
 
 constexpr milliseconds step_time { 10 };
 constexpr milliseconds report_interval { 30 };
+// Interval between the reports that contain everything; the others contain only changes.
 constexpr milliseconds whole_interval { 1000 };
 // Times after a crash at which the endpoint's row is removed and at which another instance of it starts.
 constexpr milliseconds row_lifetime { 1500 };
--- a/tests/dispatch/crash_suspects_test.cpp
+++ b/tests/dispatch/crash_suspects_test.cpp
@@ -57,7 +57,7 @@
             if (m_driver.reducer().suspects_requests())
                 arrived.content = content;
             auto const number = arrived.request;
-            m_driver.take(std::move(arrived));
+            m_driver.deliver(std::move(arrived));
             return number;
         }
 
@@ -66,7 +66,7 @@
             auto const sent = m_driver.sent_for(request).back();
             attempt_ended ended { request, sent.attempt, attempt_end::broken };
             ended.content = content;
-            m_driver.take(ended);
+            m_driver.deliver(ended);
         }
 
         // Waits until the probes are sent and answers each with the outcome.
@@ -74,7 +74,7 @@
         {
             m_driver.wait(milliseconds(20));
             for (; m_probes_seen < m_driver.probes().size(); ++m_probes_seen)
-                m_driver.take(endpoint_probed { m_driver.probes()[m_probes_seen].instance, outcome });
+                m_driver.deliver(endpoint_probed { m_driver.probes()[m_probes_seen].instance, outcome });
         }
 
         // Crashes the endpoint that runs the request, then waits until the request may be tried again.
@@ -261,13 +261,13 @@
         single_router_fleet first_fleet;
         first_fleet.quarantine();
         single_router_fleet second_fleet;
-        second_fleet->take(
+        second_fleet->deliver(
             report_of(first_fleet->reducer().take_own_report(report_scope::changes, first_fleet->now()).crashes));
         CPPUNIT_ASSERT_EQUAL(
             name_of(refusal_reason::crashes_endpoints), name_of(reason_of(second_fleet, second_fleet.ask(harmful))));
         // A router that missed the report receives the record with the next whole report.
         single_router_fleet third_fleet;
-        third_fleet->take(
+        third_fleet->deliver(
             report_of(first_fleet->reducer().take_own_report(report_scope::whole, first_fleet->now()).crashes));
         CPPUNIT_ASSERT_EQUAL(
             name_of(refusal_reason::crashes_endpoints), name_of(reason_of(third_fleet, third_fleet.ask(harmful))));
@@ -280,7 +280,7 @@
         fleet.crash(fleet.ask(harmful));
         auto const outdated_records = fleet->reducer().take_own_report(report_scope::changes, fleet->now()).crashes;
         fleet->end(fleet.ask(harmful), attempt_end::complete, 200);
-        fleet->take(report_of(outdated_records));
+        fleet->deliver(report_of(outdated_records));
         fleet.crash(fleet.ask(harmful));
         CPPUNIT_ASSERT(is_sent(fleet, fleet.ask(harmful)));
     }
@@ -292,7 +292,7 @@
         std::vector<crash_record> many;
         for (std::uint64_t index = 0; index < 5000; ++index)
             many.push_back({ { team_key(1), content_hash(1000 + index) }, { 0, 1 }, milliseconds(600000), {} });
-        fleet->take(report_of(many));
+        fleet->deliver(report_of(many));
         CPPUNIT_ASSERT_EQUAL(name_of(refusal_reason::crashes_endpoints), name_of(reason_of(fleet, fleet.ask(harmful))));
     }
 };
--- a/tests/dispatch/crowded_pool_simulation.cpp
+++ b/tests/dispatch/crowded_pool_simulation.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr milliseconds network_delay { 1 };
+// Time limit of a request, as a multiple of its objective.
 constexpr std::int64_t deadline_in_objectives = 10;
 constexpr milliseconds tick_interval { 10 };
 constexpr milliseconds report_interval { 100 };
@@ -77,7 +78,7 @@
         m_outcome.max_prefilled_tokens = std::max(m_outcome.max_prefilled_tokens, engine.prefilled_tokens);
     }
     std::ranges::sort(m_outcome.queue_times);
-    m_outcome.utilization
+    m_outcome.utilisation
         = m_busy_ms / (static_cast<double>(m_load.duration.count()) * static_cast<double>(server_count));
     return m_outcome;
 }
--- a/tests/dispatch/crowded_pool_simulation.h
+++ b/tests/dispatch/crowded_pool_simulation.h
@@ -72,7 +72,7 @@
     // Time that each prompt waited at its engine before its prefill, in ascending order.
     std::vector<milliseconds> queue_times;
     // Fraction of the time in which the slots, or the engines, were busy.
-    double utilization { 0 };
+    double utilisation { 0 };
     // By team, one entry for each second after the warm-up.
     std::vector<std::vector<team_second>> teams;
     token_count largest_prompt { 0 };
--- a/tests/dispatch/crowded_pool_test.cpp
+++ b/tests/dispatch/crowded_pool_test.cpp
@@ -11,7 +11,7 @@
 
 class crowded_pool_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(crowded_pool_test);
-    CPPUNIT_TEST(few_slots_are_busy_while_callers_are_refused);
+    CPPUNIT_TEST(nearly_all_slots_are_busy_while_callers_are_refused);
     CPPUNIT_TEST(a_lightly_loaded_service_answers_all_in_time);
     CPPUNIT_TEST(an_early_retry_is_answered_in_time_by_engines_too);
     CPPUNIT_TEST(the_limit_falls_once_for_answers_that_come_together);
@@ -29,18 +29,18 @@
     // Where routers rely only on each other's reports, with the usual wait and retry delay, 0.87 of the slots are used,
     // 0.40 of the calls are answered in time and 0.37 are unserved at 22 routers; 0.37 are answered in time at 60
     // routers.
-    void few_slots_are_busy_while_callers_are_refused()
+    void nearly_all_slots_are_busy_while_callers_are_refused()
     {
         auto const default_load = crowded_pool_simulation(crowded_pool_load {}).run();
-        CPPUNIT_ASSERT(default_load.utilization > 0.95);
+        CPPUNIT_ASSERT(default_load.utilisation > 0.95);
         CPPUNIT_ASSERT(default_load.in_time_fraction() > 0.55);
         auto const few_routers = crowded_pool_simulation(crowded_pool_load { .routers = 2 }).run();
-        CPPUNIT_ASSERT(few_routers.utilization > 0.95);
+        CPPUNIT_ASSERT(few_routers.utilisation > 0.95);
         CPPUNIT_ASSERT(few_routers.in_time_fraction() > 0.55);
         auto const many_routers
             = crowded_pool_simulation(crowded_pool_load { .routers = 60, .endpoints = 3, .calls_per_second = 800 })
                   .run();
-        CPPUNIT_ASSERT(many_routers.utilization > 0.95);
+        CPPUNIT_ASSERT(many_routers.utilisation > 0.95);
         CPPUNIT_ASSERT(many_routers.in_time_fraction() > 0.55);
     }
 
--- a/tests/dispatch/dispatch_driver.h
+++ b/tests/dispatch/dispatch_driver.h
@@ -28,7 +28,8 @@
     }
 
     // Returns a configuration with a model pool, a plain pool, a route for each retry mode and answer form in use, and
-    // two teams.
+    // two teams. Streams under /resumable/ are resumed and those under /once/ are never repeated; at the plain pool,
+    // requests under /order/ are never repeated and those under /look/ are.
     static configuration usual_configuration(std::uint64_t revision = 1)
     {
         configuration result;
@@ -65,16 +66,18 @@
         return { endpoint_name(name), "address-of-" + name, pool_name(pool), failure_domain("north"), slots, false };
     }
 
+    // Delivers the usual configuration and the list of endpoints, and waits until the shares have their full size.
     void start(std::vector<endpoint_entry> endpoints)
     {
-        take(configuration_received { usual_configuration() });
-        take(endpoints_listed { std::move(endpoints) });
-        // After a whole window the sums of the teams are complete, so that the shares have their full size.
+        deliver(configuration_received { usual_configuration() });
+        deliver(endpoints_listed { std::move(endpoints) });
+        // After a whole window the sums of the teams are complete.
         constexpr milliseconds window { 4000 };
         wait(window);
     }
 
-    effect_list take(event_body body)
+    // Passes the event to the dispatcher and records the effects.
+    effect_list deliver(event_body body)
     {
         auto effects = m_reducer.reduce({ m_now, m_random_draw += draw_step, std::move(body) });
         for (auto const& effect : effects)
@@ -82,6 +85,7 @@
         return effects;
     }
 
+    // Delivers a caller's request with the API key of a team and a prompt of this number of tokens.
     request_number ask(std::string path, std::string key = "red-key", token_count prompt = 100)
     {
         request_arrived arrived;
@@ -95,17 +99,19 @@
         arrived.cost.parts = { { 7, prompt / 2 }, { 1000 + m_last_request, prompt - prompt / 2 } };
         arrived.time_left = milliseconds(4000);
         auto const number = arrived.request;
-        take(std::move(arrived));
+        deliver(std::move(arrived));
         return number;
     }
 
+    // Ends the latest attempt of the request; `has_begun` tells whether its answer had begun.
     void end(request_number request, attempt_end how, std::uint16_t status = 0, bool has_begun = false)
     {
         auto const sent = sent_for(request).back();
-        take(attempt_ended { request, sent.attempt, how, status, 0, has_begun });
+        deliver(attempt_ended { request, sent.attempt, how, status, 0, has_begun });
     }
 
-    void begin(request_number request) { take(answer_began { request, sent_for(request).back().attempt }); }
+    // Begins the answer of the request's latest attempt.
+    void begin(request_number request) { deliver(answer_began { request, sent_for(request).back().attempt }); }
 
     // Sends a request and lets the engine prefill the whole prompt, so that it has no pending prefill afterwards.
     request_number ask_and_prefill(std::string path, std::string key, token_count prompt)
@@ -122,7 +128,7 @@
     {
         for (auto const until = m_now + time; m_now < until;) {
             m_now += milliseconds(10);
-            take(tick {});
+            deliver(tick {});
         }
     }
 
--- a/tests/dispatch/dispatch_fuzz_test.cpp
+++ b/tests/dispatch/dispatch_fuzz_test.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+// One random event: its kind, and a number that selects the request, the endpoint or the duration.
 struct fuzz_step {
     int kind { 0 };
     int choice { 0 };
@@ -72,11 +73,12 @@
         case 12:
             return drain_endpoint(step.choice);
         case 13:
-            return run(
-                [&] { m_driver.take(configuration_received { dispatch_driver::usual_configuration(++m_revision) }); });
+            return run([&] {
+                m_driver.deliver(configuration_received { dispatch_driver::usual_configuration(++m_revision) });
+            });
         case 14:
             return run([&] {
-                m_driver.take(
+                m_driver.deliver(
                     peer_report { vm_name("b"), step.choice % 2 == 0 ? report_scope::whole : report_scope::changes,
                         { { key_of(endpoint_name("m1")), 2, token_count { step.choice } * 10 } },
                         { { key_of(team_name("red")), 5000, token_count { step.choice } * 100 } },
@@ -157,7 +159,7 @@
         if (ending == attempt_end::complete)
             ++request->final_answers;
         run([&] {
-            m_driver.take(attempt_ended { number, attempt, ending, std::uint16_t { 200 }, 1, request->has_begun });
+            m_driver.deliver(attempt_ended { number, attempt, ending, std::uint16_t { 200 }, 1, request->has_begun });
         });
     }
 
@@ -169,7 +171,7 @@
             return;
         request->has_begun = true;
         request->may_have_run = true;
-        run([&] { m_driver.take(answer_began { number, request->in_flight->attempt }); });
+        run([&] { m_driver.deliver(answer_began { number, request->in_flight->attempt }); });
     }
 
     void stall(int choice)
@@ -178,7 +180,7 @@
         auto* const request = in_flight(choice, number);
         if (request == nullptr)
             return;
-        run([&] { m_driver.take(attempt_stalled { number, request->in_flight->attempt, request->has_begun }); });
+        run([&] { m_driver.deliver(attempt_stalled { number, request->in_flight->attempt, request->has_begun }); });
     }
 
     void leave(int choice)
@@ -189,14 +191,14 @@
             return;
         request->in_flight.reset();
         ++request->final_answers;
-        run([&] { m_driver.take(caller_left { number }); });
+        run([&] { m_driver.deliver(caller_left { number }); });
     }
 
     void drain_endpoint(int choice)
     {
         auto& entry = m_entries[static_cast<std::size_t>(choice) % m_entries.size()];
         entry.is_draining = !entry.is_draining;
-        run([&] { m_driver.take(endpoints_listed { m_entries }); });
+        run([&] { m_driver.deliver(endpoints_listed { m_entries }); });
     }
 
     [[nodiscard]] bool is_open(endpoint_name const& name) const
@@ -276,12 +278,12 @@
 
 class dispatch_fuzz_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(dispatch_fuzz_test);
-    CPPUNIT_TEST(promises_hold_under_random_events);
+    CPPUNIT_TEST(guarantees_hold_under_random_events);
     CPPUNIT_TEST_SUITE_END();
 
-    void promises_hold_under_random_events()
+    void guarantees_hold_under_random_events()
     {
-        testing::check_property("the dispatcher keeps its promises", [] {
+        testing::check_property("the guarantees of the dispatcher hold", [] {
             auto const steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
                 rc::gen::pair(rc::gen::inRange(0, 20), rc::gen::inRange(0, 200)));
             fuzzed_dispatcher fleet;
--- a/tests/dispatch/dispatch_guard_test.cpp
+++ b/tests/dispatch/dispatch_guard_test.cpp
@@ -12,9 +12,9 @@
     CPPUNIT_TEST(a_flood_of_waiting_requests_costs_few_choices);
     CPPUNIT_TEST(a_failing_endpoint_is_ejected_and_probed);
     CPPUNIT_TEST(not_all_endpoints_are_ejected);
-    CPPUNIT_TEST(own_trouble_ejects_nobody);
+    CPPUNIT_TEST(failures_caused_by_the_router_eject_nobody);
     CPPUNIT_TEST(own_delays_do_not_lower_an_engines_rate);
-    CPPUNIT_TEST(an_older_configuration_is_not_taken);
+    CPPUNIT_TEST(an_older_configuration_is_not_applied);
     CPPUNIT_TEST(a_drain_ends_when_nothing_is_in_flight);
     CPPUNIT_TEST(the_log_contains_the_cause_of_a_refusal);
     CPPUNIT_TEST(a_request_past_its_share_is_refused_early_with_a_retry_delay);
@@ -37,7 +37,7 @@
         fleet.ask("/once/", "red-key", 41000);
         fleet.wait(milliseconds(200));
         for (int ticks = 0; ticks < 30; ++ticks)
-            fleet.take(tick { milliseconds(100) });
+            fleet.deliver(tick { milliseconds(100) });
         auto const past_share = fleet.ask("/once/", "red-key");
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 503 }, fleet.refusal_of(past_share)->status);
         CPPUNIT_ASSERT(fleet.refusal_of(past_share)->reason == refusal_reason::router_overloaded);
@@ -47,7 +47,7 @@
             refused += fleet.refusal_of(fleet.ask("/once/", "blue-key", 10)) ? 1 : 0;
         CPPUNIT_ASSERT(refused > 0 && refused < 90);
         for (int ticks = 0; ticks < 60; ++ticks)
-            fleet.take(tick {});
+            fleet.deliver(tick {});
         CPPUNIT_ASSERT(!fleet.refusal_of(fleet.ask("/once/", "blue-key", 10)));
     }
 
@@ -68,7 +68,7 @@
         for (int index = 0; index < 50; ++index)
             fleet.begin(running);
         CPPUNIT_ASSERT(fleet.reducer().choices() - before <= 32);
-        // A team far above the even level is refused at once while this number of requests waits.
+        // A team far above the even level is refused at once while 300 requests wait.
         CPPUNIT_ASSERT(fleet.refusal_of(fleet.ask("/once/", "red-key", 41000)).has_value());
     }
 
@@ -109,14 +109,14 @@
     }
 
     // While the router's own link is saturated, connects fail at all endpoints alike, so that none of them is to blame.
-    void own_trouble_ejects_nobody()
+    void failures_caused_by_the_router_eject_nobody()
     {
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain", 100), driver::make_endpoint("e2", "plain", 100) });
         constexpr int tick_count = 200;
         auto const set_link_load = [&](double link_fraction) {
             for (int ticks = 0; ticks < tick_count; ++ticks)
-                fleet.take(tick { milliseconds(0), 0.3, link_fraction });
+                fleet.deliver(tick { milliseconds(0), 0.3, link_fraction });
         };
         auto const fail_requests = [&] {
             for (int index = 0; index < 12; ++index) {
@@ -144,12 +144,12 @@
         auto const before = fleet.reducer().engines().at(0);
         CPPUNIT_ASSERT_EQUAL(token_count { 3000 }, before.work.pending_prefill);
         for (int index = 0; index < 20; ++index)
-            fleet.take(tick { milliseconds(100) });
+            fleet.deliver(tick { milliseconds(100) });
         CPPUNIT_ASSERT(
             fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0).prefill.is_empty());
         for (int index = 0; index < 100; ++index) {
             fleet.wait(milliseconds(10));
-            fleet.take(tick { milliseconds(500) });
+            fleet.deliver(tick { milliseconds(500) });
         }
         fleet.begin(request);
         auto const report = fleet.reducer().take_own_report(report_scope::changes, fleet.now()).loads.at(0);
@@ -158,14 +158,14 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(before.tokens_per_ms, fleet.reducer().engines().at(0).tokens_per_ms, 0.01);
     }
 
-    void an_older_configuration_is_not_taken()
+    void an_older_configuration_is_not_applied()
     {
         driver fleet;
         fleet.start(make_two("plain"));
-        fleet.take(configuration_received { driver::usual_configuration(9) });
+        fleet.deliver(configuration_received { driver::usual_configuration(9) });
         auto older = driver::usual_configuration(5);
         older.routes.clear();
-        fleet.take(configuration_received { older });
+        fleet.deliver(configuration_received { older });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 9 }, fleet.reducer().routes().current().revision);
         CPPUNIT_ASSERT(!fleet.refusal_of(fleet.ask("/look/")));
     }
@@ -175,7 +175,7 @@
         driver fleet;
         fleet.start(make_two("plain"));
         auto const request = fleet.ask("/order/");
-        fleet.take(drain_requested {});
+        fleet.deliver(drain_requested {});
         CPPUNIT_ASSERT(!fleet.reducer().is_ready());
         CPPUNIT_ASSERT(!fleet.has_stopped());
         fleet.end(request, attempt_end::complete, 200, true);
--- a/tests/dispatch/dispatch_outcomes_test.cpp
+++ b/tests/dispatch/dispatch_outcomes_test.cpp
@@ -12,14 +12,14 @@
     CPPUNIT_TEST(an_unknown_end_is_never_called_not_run);
     CPPUNIT_TEST(an_unknown_end_is_repeated_where_that_is_allowed);
     CPPUNIT_TEST(an_endpoints_own_failure_is_repeated_where_that_is_allowed);
-    CPPUNIT_TEST(an_endpoints_own_failure_is_passed_on_where_no_other_has_room);
+    CPPUNIT_TEST(an_endpoints_own_failure_is_forwarded_where_no_other_has_a_free_slot);
     CPPUNIT_TEST(a_plain_service_that_was_slow_is_tried_again);
     CPPUNIT_TEST(a_request_that_was_not_run_goes_to_another_endpoint);
     CPPUNIT_TEST(a_request_is_sent_to_no_more_endpoints_than_allowed);
     CPPUNIT_TEST(unsent_attempts_do_not_count);
     CPPUNIT_TEST(a_broken_stream_is_resumed_elsewhere);
     CPPUNIT_TEST(a_broken_stream_that_cannot_be_resumed_is_aborted);
-    CPPUNIT_TEST(an_address_taken_over_gets_nothing_more);
+    CPPUNIT_TEST(a_retired_endpoint_gets_nothing_more);
     CPPUNIT_TEST(a_draining_endpoint_gets_nothing_new);
     CPPUNIT_TEST(a_caller_that_disconnects_cancels_the_attempt);
     CPPUNIT_TEST(the_time_limit_ends_a_request_at_once);
@@ -97,7 +97,7 @@
     }
 
     // Guards against a router that answers 502 in place of the endpoint's own answer.
-    void an_endpoints_own_failure_is_passed_on_where_no_other_has_room()
+    void an_endpoints_own_failure_is_forwarded_where_no_other_has_a_free_slot()
     {
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain") });
@@ -107,7 +107,7 @@
         fleet.wait(milliseconds(400));
         CPPUNIT_ASSERT(fleet.is_forwarded(look));
         CPPUNIT_ASSERT(!fleet.refusal_of(look));
-        // Of a broken attempt no answer was received that could be forwarded.
+        // A broken attempt has no complete answer that could be forwarded.
         auto const broken = fleet.ask("/look/");
         fleet.end(broken, attempt_end::broken);
         fleet.wait(milliseconds(400));
@@ -175,7 +175,8 @@
         CPPUNIT_ASSERT(!fleet.refusal_of(request));
     }
 
-    void an_address_taken_over_gets_nothing_more()
+    // Status 421 means that another instance answered at the endpoint's address, which retires the endpoint.
+    void a_retired_endpoint_gets_nothing_more()
     {
         driver fleet;
         fleet.start({ driver::make_endpoint("e1", "plain") });
@@ -192,7 +193,7 @@
         auto endpoints = make_two("plain");
         fleet.start(endpoints);
         endpoints[0].is_draining = true;
-        fleet.take(endpoints_listed { endpoints });
+        fleet.deliver(endpoints_listed { endpoints });
         for (int index = 0; index < 6; ++index)
             fleet.ask("/look/");
         for (auto const& sent : fleet.sent())
@@ -205,7 +206,7 @@
         driver fleet;
         fleet.start(make_two("model"));
         auto const request = fleet.ask("/once/");
-        fleet.take(caller_left { request });
+        fleet.deliver(caller_left { request });
         CPPUNIT_ASSERT(fleet.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, fleet.reducer().active_requests());
         CPPUNIT_ASSERT_EQUAL(
@@ -230,7 +231,7 @@
         auto const request = fleet.ask("/look/");
         auto const first = fleet.sent_for(request)[0].attempt;
         fleet.end(request, attempt_end::broken);
-        fleet.take(attempt_ended { request, first, attempt_end::complete, 200, 0, true });
+        fleet.deliver(attempt_ended { request, first, attempt_end::complete, 200, 0, true });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.reducer().active_requests());
     }
 
@@ -239,7 +240,7 @@
         driver fleet;
         fleet.start(make_two("plain"));
         auto const request = fleet.ask("/order/");
-        fleet.take(attempt_stalled { request, fleet.sent_for(request)[0].attempt, false });
+        fleet.deliver(attempt_stalled { request, fleet.sent_for(request)[0].attempt, false });
         CPPUNIT_ASSERT(!fleet.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.sent_for(request).size());
     }
@@ -249,7 +250,7 @@
         driver fleet;
         fleet.start(make_two("plain"));
         auto const request = fleet.ask("/look/");
-        fleet.take(attempt_stalled { request, fleet.sent_for(request)[0].attempt, false });
+        fleet.deliver(attempt_stalled { request, fleet.sent_for(request)[0].attempt, false });
         CPPUNIT_ASSERT(fleet.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, fleet.sent_for(request).size());
     }
--- a/tests/dispatch/dispatch_parts_test.cpp
+++ b/tests/dispatch/dispatch_parts_test.cpp
@@ -22,12 +22,12 @@
     CPPUNIT_TEST(pools_are_chosen_by_weight);
     CPPUNIT_TEST(shares_are_max_min);
     CPPUNIT_TEST(a_report_replaces_the_one_before);
-    CPPUNIT_TEST(a_share_grows_with_what_is_known);
-    CPPUNIT_TEST(a_router_that_starts_alone_takes_over_what_others_know);
+    CPPUNIT_TEST(a_share_grows_with_the_observed_span);
+    CPPUNIT_TEST(a_starting_router_adopts_the_reported_observed_span);
     CPPUNIT_TEST(old_values_leave_the_window);
     CPPUNIT_TEST(the_fleet_keeps_its_retry_budget);
     CPPUNIT_TEST(a_table_is_read_and_then_watched);
-    CPPUNIT_TEST(a_lost_history_is_read_anew_and_never_goes_back);
+    CPPUNIT_TEST(a_lost_history_causes_a_full_read_that_never_goes_back);
     CPPUNIT_TEST(the_last_change_of_the_rows_differs_from_the_stores_version);
     CPPUNIT_TEST(the_polling_interval_can_be_changed);
     CPPUNIT_TEST(rows_reported_by_a_peer_are_watched_further);
@@ -122,7 +122,7 @@
 
     // Guards against routers that all restart together and admit the share of a whole window at once, so that nearly
     // all requests of the next second are late.
-    void a_share_grows_with_what_is_known()
+    void a_share_grows_with_the_observed_span()
     {
         team_ledger ledger(milliseconds(4000));
         ledger.record_requested(key_of(team_name("red")), at(1000), 1000000);
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT(ledger.observed_span(at(9000)) == milliseconds(4000));
     }
 
-    void a_router_that_starts_alone_takes_over_what_others_know()
+    void a_starting_router_adopts_the_reported_observed_span()
     {
         team_ledger ledger(milliseconds(4000));
         ledger.update_shares(1000, at(1000));
@@ -214,7 +214,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("3"), watcher.rows().at("b").value);
     }
 
-    void a_lost_history_is_read_anew_and_never_goes_back()
+    void a_lost_history_causes_a_full_read_that_never_goes_back()
     {
         table_watcher watcher({ milliseconds(0), milliseconds(1500) });
         (void)watcher.take_next(at(1000));
--- a/tests/dispatch/domain_reports_test.cpp
+++ b/tests/dispatch/domain_reports_test.cpp
@@ -57,7 +57,7 @@
 
     void changes_of_usage_add_up()
     {
-        testing::check_property("changes of usage lead to what stands", [] {
+        testing::check_property("changes of usage add up to the current usage", [] {
             reported_usage reported;
             team_ledger receiver_ledger(milliseconds(4000));
             peer_report report;
@@ -182,7 +182,7 @@
     // of what was admitted.
     void levels_add_up_whichever_router_is_the_delegate()
     {
-        testing::check_property("levels add up whoever tells", [] {
+        testing::check_property("levels add up whichever router is the delegate", [] {
             constexpr std::size_t routers_per_domain = 3;
             // With this window no usage decays during the test. Usage counts twice when it is recorded.
             constexpr milliseconds window { 1000000000 };
--- a/tests/dispatch/endpoint_starts_test.cpp
+++ b/tests/dispatch/endpoint_instances_test.cpp
@@ -8,8 +8,8 @@
 
 namespace shedhill::dispatch {
 
-class endpoint_starts_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(endpoint_starts_test);
+class endpoint_instances_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(endpoint_instances_test);
     CPPUNIT_TEST(a_new_instance_has_no_state_of_the_previous_one);
     CPPUNIT_TEST(the_name_belongs_to_the_listed_instance);
     CPPUNIT_TEST(reports_about_the_previous_instance_do_not_count);
@@ -55,11 +55,11 @@
         dispatch_driver driver;
         driver.start({ make_instance("plain", first_started_at_ms) });
         (void)driver.ask("/look/");
-        driver.take(endpoints_listed { { make_instance("plain", first_started_at_ms + 5000) } });
+        driver.deliver(endpoints_listed { { make_instance("plain", first_started_at_ms + 5000) } });
         (void)driver.ask("/look/");
-        driver.take(endpoints_listed { { make_instance("plain", first_started_at_ms) } });
+        driver.deliver(endpoints_listed { { make_instance("plain", first_started_at_ms) } });
         auto const request = driver.ask("/look/");
-        driver.take(endpoints_listed { { make_instance("plain", first_started_at_ms) } });
+        driver.deliver(endpoints_listed { { make_instance("plain", first_started_at_ms) } });
         CPPUNIT_ASSERT(!driver.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, driver.sent_for(request).size());
     }
@@ -86,7 +86,7 @@
         dispatch_driver driver;
         driver.start({ make_instance("plain", first_started_at_ms) });
         auto const request = driver.ask("/look/");
-        driver.take(endpoints_listed {
+        driver.deliver(endpoints_listed {
             { make_instance("plain", first_started_at_ms + 5000), dispatch_driver::make_endpoint("e2", "plain") } });
         CPPUNIT_ASSERT(driver.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, driver.sent_for(request).size());
@@ -98,7 +98,7 @@
         dispatch_driver driver;
         driver.start({ make_instance("plain", first_started_at_ms) });
         auto const request = driver.ask("/order/");
-        driver.take(endpoints_listed { { make_instance("plain", first_started_at_ms + 5000) } });
+        driver.deliver(endpoints_listed { { make_instance("plain", first_started_at_ms + 5000) } });
         CPPUNIT_ASSERT(driver.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 502 }, driver.refusal_of(request)->status);
         CPPUNIT_ASSERT(!driver.refusal_of(request)->retry_after);
@@ -111,12 +111,12 @@
         auto const request = driver.ask("/look/");
         auto entry = make_instance("plain", first_started_at_ms);
         entry.is_draining = true;
-        driver.take(endpoints_listed { { entry } });
+        driver.deliver(endpoints_listed { { entry } });
         CPPUNIT_ASSERT(!driver.is_cancelled(request));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, driver.sent_for(request).size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(endpoint_starts_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(endpoint_instances_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/endpoint_notice_property_test.cpp
+++ b/tests/dispatch/endpoint_notice_property_test.cpp
@@ -113,19 +113,19 @@
                 return;
             auto const& chosen = running[drawn % running.size()];
             m_running.erase(chosen.request);
-            m_fleet.take(endpoint_notice_received { chosen.request, chosen.endpoint, chosen.instance, notice });
+            m_fleet.deliver(endpoint_notice_received { chosen.request, chosen.endpoint, chosen.instance, notice });
             auto& until = m_backoff_until[chosen.instance];
             until = std::max(until, m_fleet.now() + notice.backoff);
             if (notice.is_leaving)
                 m_leaving.insert(chosen.instance);
-            m_fleet.take(attempt_ended { chosen.request, chosen.attempt, outcome, 503, 0, false });
+            m_fleet.deliver(attempt_ended { chosen.request, chosen.attempt, outcome, 503, 0, false });
             check_sent();
         }
 
         void apply_list(std::vector<endpoint_entry> const& entries)
         {
             m_listed = entries;
-            m_fleet.take(endpoints_listed { entries });
+            m_fleet.deliver(endpoints_listed { entries });
             check_sent();
         }
 
--- a/tests/dispatch/endpoint_notice_test.cpp
+++ b/tests/dispatch/endpoint_notice_test.cpp
@@ -29,7 +29,7 @@
 void send_notice(driver& fleet, request_number request, endpoint_notice notice)
 {
     auto const sent = fleet.sent_for(request).back();
-    fleet.take(endpoint_notice_received { request, sent.endpoint, sent.instance, notice });
+    fleet.deliver(endpoint_notice_received { request, sent.endpoint, sent.instance, notice });
 }
 
 void request_backoff(driver& fleet, request_number request, milliseconds backoff = usual_backoff)
@@ -180,8 +180,8 @@
         auto const backing_off = fleet.sent_for(request).back().endpoint.value();
         request_backoff(fleet, request);
         fleet.end(request, attempt_end::complete, 200);
-        fleet.take(endpoints_listed { { plain(backing_off == "e1" ? "e2" : "e1") } });
-        fleet.take(endpoints_listed { { plain("e1"), plain("e2") } });
+        fleet.deliver(endpoints_listed { { plain(backing_off == "e1" ? "e2" : "e1") } });
+        fleet.deliver(endpoints_listed { { plain("e1"), plain("e2") } });
         CPPUNIT_ASSERT(!serve_requests(fleet, usual_backoff - milliseconds(20)).contains(backing_off));
     }
 
@@ -190,7 +190,7 @@
         driver fleet;
         fleet.start({ plain("e1", 1) });
         request_backoff(fleet, fleet.ask("/look/x"));
-        fleet.take(endpoints_listed { { plain("e1", 2) } });
+        fleet.deliver(endpoints_listed { { plain("e1", 2) } });
         CPPUNIT_ASSERT(serve_requests(fleet, milliseconds(100)).contains("e1"));
     }
 
@@ -265,7 +265,7 @@
         request_backoff(fleet, fleet.ask("/look/x"), milliseconds(1000));
         fleet.wait(milliseconds(1000));
         // The caller of the first request leaves before the answer.
-        fleet.take(caller_left { fleet.ask("/look/x") });
+        fleet.deliver(caller_left { fleet.ask("/look/x") });
         fleet.wait(milliseconds(2000));
         auto const before = fleet.sent().size();
         for (std::size_t index = 0; index < request_count; ++index)
@@ -318,15 +318,15 @@
         driver fleet;
         fleet.start({ plain("e1") });
         answer_leaving(fleet, fleet.ask("/look/x"));
-        fleet.take(endpoints_listed { { plain("e1") } });
+        fleet.deliver(endpoints_listed { { plain("e1") } });
         CPPUNIT_ASSERT(serve_requests(fleet, milliseconds(100)).empty());
-        fleet.take(endpoints_listed { {} });
+        fleet.deliver(endpoints_listed { {} });
         fleet.wait(milliseconds(2000));
-        fleet.take(endpoints_listed { { plain("e1") } });
+        fleet.deliver(endpoints_listed { { plain("e1") } });
         CPPUNIT_ASSERT(serve_requests(fleet, milliseconds(100)).empty());
         // The end of an evacuation does not make the endpoint available either.
-        fleet.take(domains_evacuated { { failure_domain("north") } });
-        fleet.take(domains_evacuated {});
+        fleet.deliver(domains_evacuated { { failure_domain("north") } });
+        fleet.deliver(domains_evacuated {});
         CPPUNIT_ASSERT(serve_requests(fleet, milliseconds(100)).empty());
     }
 
@@ -335,7 +335,7 @@
         driver fleet;
         fleet.start({ plain("e1", 1) });
         answer_leaving(fleet, fleet.ask("/look/x"));
-        fleet.take(endpoints_listed { { plain("e1", 2) } });
+        fleet.deliver(endpoints_listed { { plain("e1", 2) } });
         CPPUNIT_ASSERT(serve_requests(fleet, milliseconds(100)).contains("e1"));
     }
 
--- a/tests/dispatch/engine_room_test.cpp
+++ b/tests/dispatch/engine_headroom_test.cpp
@@ -8,8 +8,8 @@
 
 namespace shedhill::dispatch {
 
-class engine_room_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(engine_room_test);
+class engine_headroom_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(engine_headroom_test);
     CPPUNIT_TEST(admitted_prompts_never_exceed_the_fill_limit);
     CPPUNIT_TEST(an_empty_engine_accepts_any_prompt_within_its_capacity);
     CPPUNIT_TEST(a_full_engine_is_not_selected);
@@ -66,7 +66,7 @@
         report_kv_tokens(driver, "e1", kv_capacity * 6 / 10);
         auto const first = driver.ask("/once/", "red-key", large_prompt);
         CPPUNIT_ASSERT(driver.sent_for(first).empty());
-        driver.take(peer_lost { peer_report { .peer = vm_name("b") }.source() });
+        driver.deliver(peer_lost { peer_report { .peer = vm_name("b") }.source() });
         driver.wait(milliseconds(10));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, driver.sent_for(first).size());
     }
@@ -104,7 +104,7 @@
         peer_report report;
         report.peer = vm_name("b");
         report.loads = { { key_of(endpoint_name("e1")), { 1, 0, 0 }, { 0, 5000 } } };
-        driver.take(report);
+        driver.deliver(report);
         driver.wait(milliseconds(1));
         driver.wait(milliseconds(5000));
         auto const first = driver.log().find("engine_pace_changed");
@@ -119,10 +119,10 @@
         report.peer = vm_name("b");
         report.scope = report_scope::changes;
         report.loads = { { key_of(endpoint_name(name)), { 1, 0, kv_tokens } } };
-        driver.take(report);
+        driver.deliver(report);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(engine_room_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(engine_headroom_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/engine_pace_test.cpp
+++ b/tests/dispatch/engine_prefill_rate_test.cpp
@@ -9,8 +9,8 @@
 
 namespace shedhill::dispatch {
 
-class engine_pace_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(engine_pace_test);
+class engine_prefill_rate_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(engine_prefill_rate_test);
     CPPUNIT_TEST(pending_prefill_delays_the_own_prefill);
     CPPUNIT_TEST(the_prior_is_the_average_rate_of_the_endpoints);
     CPPUNIT_TEST(a_prefill_rate_converges_from_any_prior);
@@ -182,6 +182,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(engine_pace_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(engine_prefill_rate_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/evacuation_test.cpp
+++ b/tests/dispatch/evacuation_test.cpp
@@ -15,9 +15,9 @@
     CPPUNIT_TEST(retries_go_to_other_domains);
     CPPUNIT_TEST(waiting_requests_go_to_other_domains);
     CPPUNIT_TEST(a_later_list_does_not_end_an_evacuation);
-    CPPUNIT_TEST(a_domain_given_back_gets_work_again);
+    CPPUNIT_TEST(a_domain_receives_attempts_again_after_its_evacuation);
     CPPUNIT_TEST(requests_are_refused_at_once_where_all_is_evacuated);
-    CPPUNIT_TEST(an_address_taken_over_stays_retired_when_its_domain_is_given_back);
+    CPPUNIT_TEST(a_retired_endpoint_stays_unused_after_the_evacuation);
     CPPUNIT_TEST(a_domain_that_does_not_exist_changes_nothing_and_shows_in_the_log);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,7 +34,7 @@
 
     static void evacuate(driver& fleet, std::vector<failure_domain> domains)
     {
-        fleet.take(domains_evacuated { std::move(domains) });
+        fleet.deliver(domains_evacuated { std::move(domains) });
     }
 
     static std::string endpoint_of(driver const& fleet, request_number request)
@@ -100,12 +100,12 @@
         evacuate(fleet, { failure_domain("north") });
         auto entries = two_domains();
         entries.push_back(in_domain("e3", "north"));
-        fleet.take(endpoints_listed { entries });
+        fleet.deliver(endpoints_listed { entries });
         for (int index = 0; index < 4; ++index)
             CPPUNIT_ASSERT_EQUAL(std::string("e2"), endpoint_of(fleet, fleet.ask("/look/x")));
     }
 
-    void a_domain_given_back_gets_work_again()
+    void a_domain_receives_attempts_again_after_its_evacuation()
     {
         driver fleet;
         fleet.start({ in_domain("e1", "north") });
@@ -128,7 +128,8 @@
         CPPUNIT_ASSERT(refused->retry_after.has_value());
     }
 
-    void an_address_taken_over_stays_retired_when_its_domain_is_given_back()
+    // An answer of another instance at the endpoint's address retires the endpoint.
+    void a_retired_endpoint_stays_unused_after_the_evacuation()
     {
         driver fleet;
         fleet.start({ in_domain("e1", "north"), in_domain("e2", "north") });
--- a/tests/dispatch/overload_guard_test.cpp
+++ b/tests/dispatch/overload_guard_test.cpp
@@ -83,9 +83,9 @@
         CPPUNIT_ASSERT_EQUAL(0, refused_of_thousand(guard, share_status::within_share));
     }
 
-    // A few busy callers filled the 10 Mbit/s link of a router whose processor was a third busy. Without a check of the
-    // link, the router refused nothing and attributed 5,088 of the fleet's 5,232 failed connects to unhealthy
-    // endpoints.
+    // Guards against a router that overlooks a full link: a few busy callers filled the 10 Mbit/s link of a router
+    // whose processor was a third busy. Without a check of the link, the router refused nothing and attributed 5,088 of
+    // the fleet's 5,232 failed connects to unhealthy endpoints.
     void a_full_link_is_an_overload_too()
     {
         overload_guard guard;
--- a/tests/dispatch/regions_test.cpp
+++ b/tests/dispatch/regions_test.cpp
@@ -38,11 +38,11 @@
             }
             for (auto& route : configuration.routes)
                 route.allowed_regions = route_regions;
-            take(configuration_received { configuration });
-            take(endpoints_listed { std::move(entries) });
+            deliver(configuration_received { configuration });
+            deliver(endpoints_listed { std::move(entries) });
         }
 
-        effect_list take(event_body body)
+        effect_list deliver(event_body body)
         {
             auto effects = m_reducer.reduce({ m_now, ++m_draw, std::move(body) });
             for (auto const& dispatch_effect : effects) {
@@ -65,7 +65,7 @@
             arrived.cost.parts = { { 7, 50 }, { 1000 + m_last_request, 50 } };
             arrived.time_left = milliseconds(4000);
             auto const number = arrived.request;
-            take(std::move(arrived));
+            deliver(std::move(arrived));
             return number;
         }
 
@@ -73,7 +73,7 @@
         {
             for (auto const until = m_now + time; m_now < until;) {
                 m_now += milliseconds(10);
-                take(tick {});
+                deliver(tick {});
             }
         }
 
@@ -165,7 +165,7 @@
     {
         bound_driver fleet({ in_domain("n", "north"), in_domain("s", "south") }, coast());
         auto const request = fleet.ask("/order/x");
-        fleet.take(attempt_ended { request, fleet.sent.back().attempt, attempt_end::not_run, 503, 0, false });
+        fleet.deliver(attempt_ended { request, fleet.sent.back().attempt, attempt_end::not_run, 503, 0, false });
         fleet.wait(milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.sent.size());
     }
@@ -177,8 +177,8 @@
             inland());
         auto const request = fleet.ask("/resumable/x");
         auto const first = fleet.sent.back();
-        fleet.take(answer_began { request, first.attempt });
-        fleet.take(attempt_ended { request, first.attempt, attempt_end::broken, 0, 1, true });
+        fleet.deliver(answer_began { request, first.attempt });
+        fleet.deliver(attempt_ended { request, first.attempt, attempt_end::broken, 0, 1, true });
         fleet.wait(milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, fleet.sent.size());
         CPPUNIT_ASSERT(fleet.sent.back().endpoint != first.endpoint);
@@ -192,7 +192,7 @@
         for (int index = 0; index < 5; ++index)
             fleet.ask("/once/x");
         CPPUNIT_ASSERT_EQUAL(std::size_t { 4 }, fleet.sent.size());
-        fleet.take(endpoints_listed { { in_domain("s", "south", "model"), in_domain("n", "north", "model") } });
+        fleet.deliver(endpoints_listed { { in_domain("s", "south", "model"), in_domain("n", "north", "model") } });
         fleet.wait(milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 4 }, fleet.sent.size());
         CPPUNIT_ASSERT(fleet.refused.back().reason == refusal_reason::no_place);
@@ -212,7 +212,7 @@
     void an_evacuated_region_has_its_own_refusal_reason()
     {
         bound_driver fleet(one_in_each(), coast());
-        fleet.take(domains_evacuated { { failure_domain("south") } });
+        fleet.deliver(domains_evacuated { { failure_domain("south") } });
         fleet.ask("/look/x");
         CPPUNIT_ASSERT(fleet.sent.empty());
         CPPUNIT_ASSERT(fleet.refused.back().reason == refusal_reason::domains_evacuated);
@@ -224,7 +224,7 @@
         bound_driver fleet({ in_domain("n", "north"), in_domain("s", "south") }, coast());
         auto const request = fleet.ask("/look/x");
         auto const backing_off = fleet.sent.back();
-        fleet.take(endpoint_notice_received {
+        fleet.deliver(endpoint_notice_received {
             request, backing_off.endpoint, backing_off.instance, { milliseconds(5000), false } });
         fleet.ask("/look/x");
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, fleet.sent.size());
@@ -248,20 +248,20 @@
                     fleet.wait(milliseconds(*rc::gen::inRange(10, 200)));
                     break;
                 case 2:
-                    fleet.take(endpoints_listed { *rc::gen::element(one_in_each("model"),
+                    fleet.deliver(endpoints_listed { *rc::gen::element(one_in_each("model"),
                         std::vector<endpoint_entry> { in_domain("n", "north", "model") },
                         std::vector<endpoint_entry> {
                             in_domain("s2", "south", "model"), in_domain("w", "west", "model") }) });
                     break;
                 case 3:
-                    fleet.take(domains_evacuated { *rc::gen::element(
+                    fleet.deliver(domains_evacuated { *rc::gen::element(
                         std::vector<failure_domain> {}, std::vector<failure_domain> { failure_domain("south") }) });
                     break;
                 default:
                     if (fleet.sent.empty())
                         break;
                     auto const attempt = fleet.sent.at(*rc::gen::inRange<std::size_t>(0, fleet.sent.size()));
-                    fleet.take(attempt_ended { attempt.request, attempt.attempt,
+                    fleet.deliver(attempt_ended { attempt.request, attempt.attempt,
                         *rc::gen::element(attempt_end::not_sent, attempt_end::not_run, attempt_end::wrong_endpoint,
                             attempt_end::failed, attempt_end::broken, attempt_end::silent),
                         0, 0, false });
--- a/tests/dispatch/told_rows_test.cpp
+++ b/tests/dispatch/reported_rows_test.cpp
@@ -8,8 +8,8 @@
 
 namespace shedhill::dispatch {
 
-class told_rows_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(told_rows_test);
+class reported_rows_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(reported_rows_test);
     CPPUNIT_TEST(only_changes_are_reported);
     CPPUNIT_TEST(incomplete_changes_are_not_applied);
     CPPUNIT_TEST(changes_since_a_later_version_are_not_applied);
@@ -121,6 +121,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(told_rows_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(reported_rows_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/store_outage_watch_test.cpp
+++ b/tests/dispatch/store_outage_watch_test.cpp
@@ -11,10 +11,10 @@
     CPPUNIT_TEST(a_lone_router_uses_its_own_availability);
     CPPUNIT_TEST(a_store_that_others_reach_is_available);
     CPPUNIT_TEST(the_first_router_determines_the_recovery_time);
-    CPPUNIT_TEST(what_lapsed_is_kept_by_who_is_told_of_the_return);
+    CPPUNIT_TEST(lapsed_entries_are_retained_after_a_reported_recovery);
     CPPUNIT_TEST(an_endpoint_that_left_during_an_own_outage_is_dropped);
     CPPUNIT_TEST(late_reports_change_nothing);
-    CPPUNIT_TEST(who_does_not_follow_goes_by_what_followers_tell);
+    CPPUNIT_TEST(a_router_that_does_not_watch_relies_on_reported_confirmations);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(std::int64_t time) { return instant(milliseconds(time)); }
@@ -58,10 +58,11 @@
         CPPUNIT_ASSERT(watch.availability({ at(9800), at(9800) }, at(11000)).recovered_at == at(9000));
     }
 
-    // All entries expired in an outage of the store. The first router that reaches the store again retains them, but
-    // reports the list as stored to the others, some 30 ms before their own calls are answered. Four of five routers
-    // once applied that list, which had one endpoint of twelve.
-    void what_lapsed_is_kept_by_who_is_told_of_the_return()
+    // Guards against routers that apply an incomplete list after an outage of the store in which rows expired. The
+    // first router that reaches the store again retains their entries, but reports the list as stored to the others,
+    // some 30 ms before their own calls are answered. Four of five routers applied that list, which had one endpoint of
+    // twelve.
+    void lapsed_entries_are_retained_after_a_reported_recovery()
     {
         store_outage_watch watch;
         endpoint_roster roster;
@@ -96,7 +97,7 @@
 
     // Only routers that watch the list detect a short outage. The others retain expired entries because of their
     // reports.
-    void who_does_not_follow_goes_by_what_followers_tell()
+    void a_router_that_does_not_watch_relies_on_reported_confirmations()
     {
         store_outage_watch watch;
         own_store_availability const not_watching { at(1000), {}, false };
--- a/tests/dispatch/store_simulation.cpp
+++ b/tests/dispatch/store_simulation.cpp
@@ -11,6 +11,7 @@
 constexpr milliseconds tick_time { 20 };
 constexpr milliseconds answer_time { 5 };
 constexpr milliseconds slow_answer_time { 245 };
+// While the store loses answers, one in this many is lost.
 constexpr std::uint64_t one_answer_lost_in = 3;
 constexpr std::array all_tables { table_name::configuration, table_name::endpoints, table_name::routers };
 
@@ -55,7 +56,7 @@
         serve(*pending);
         if (pending->answered_at && *pending->answered_at <= m_now)
             end_call(table);
-        else if (m_now >= pending->made_at + pending->call.limit || m_watchers.should_abandon(table, m_now)) {
+        else if (m_now >= pending->sent_at + pending->call.limit || m_watchers.should_abandon(table, m_now)) {
             m_watchers.apply_failure(table, table_watcher::failure::no_answer, m_now, m_random());
             pending.reset();
         }
@@ -68,7 +69,7 @@
     ++m_calls;
     pending_call started;
     started.call = *next;
-    started.made_at = m_now;
+    started.sent_at = m_now;
     serve(started);
     pending = std::move(started);
 }
@@ -92,7 +93,7 @@
     }
     bool const is_read = pending.call.request.kind == table_watcher::call_kind::read;
     auto rows = rows_since(pending.call.table, is_read ? 0 : pending.call.request.since);
-    if (is_read || !rows.empty() || m_now >= pending.made_at + pending.call.request.wait) {
+    if (is_read || !rows.empty() || m_now >= pending.sent_at + pending.call.request.wait) {
         pending.rows = std::move(rows);
         answer(pending);
     }
--- a/tests/dispatch/store_simulation.h
+++ b/tests/dispatch/store_simulation.h
@@ -17,7 +17,7 @@
 
 enum class store_fault {
     none,
-    // Calls that arrive or are held during the outage are never answered.
+    // Calls that arrive during the outage, and long polls that wait at its start, are never answered.
     silent,
     // Calls are refused at once.
     busy,
@@ -61,9 +61,9 @@
     // A call in flight. The store receives it at once, and its answer takes some milliseconds.
     struct pending_call {
         store_call call;
-        instant made_at {};
-        // The time at which the answer reaches the router; empty while the store holds the call or if no answer
-        // arrives.
+        instant sent_at {};
+        // The time at which the answer reaches the router; empty while a long poll waits at the store, and if no
+        // answer arrives.
         std::optional<instant> answered_at;
         std::vector<table_watcher::changed_row> rows;
         std::uint64_t version { 0 };
--- a/tests/dispatch/store_followers_test.cpp
+++ b/tests/dispatch/store_watchers_test.cpp
@@ -8,8 +8,8 @@
 
 namespace shedhill::dispatch {
 
-class store_followers_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(store_followers_test);
+class store_watchers_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(store_watchers_test);
     CPPUNIT_TEST(a_configuration_confirmed_after_an_outage_is_received_in_time);
     CPPUNIT_TEST(rows_are_received_in_time_after_any_outages);
     CPPUNIT_TEST(failures_found_by_the_property_stay_fixed);
@@ -41,8 +41,8 @@
     // an outage of the store, although the operator had received the confirmation of the new ones. The cause was that a
     // long poll cannot show that the store has recovered. The store was silent from 5 to 11 s, and a configuration was
     // confirmed at 11.37 s. The long poll of the list from 10.1 s timed out at 12.5 s, after its wait of 1.5 s and a
-    // margin of 0.9 s. The next one was held again until 14.0 s because the list had not changed, and only then did the
-    // router request the configuration.
+    // margin of 0.9 s. The next one waited until 14.0 s because the list had not changed, and only then did the router
+    // request the configuration.
     void a_configuration_confirmed_after_an_outage_is_received_in_time()
     {
         for (std::int64_t phase = 0; phase < 1500; phase += 100) {
@@ -320,6 +320,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(store_followers_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_watchers_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/unlike_engines_test.cpp
+++ b/tests/dispatch/unequal_engines_test.cpp
@@ -13,16 +13,16 @@
 
 namespace shedhill::dispatch {
 
-class unlike_engines_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(unlike_engines_test);
+class unequal_engines_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(unequal_engines_test);
     CPPUNIT_TEST(no_team_is_left_behind);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t window = 6;
 
-    // Whether the team was hurt in each of six consecutive seconds and received too little in them. The minimum is half
-    // of what the team requested or of what the best served team received, whichever is smaller, minus three times the
-    // largest request.
+    // Tells whether the team missed its objective in each of six consecutive seconds and received too little in them.
+    // The minimum is half of what the team requested or of what the best served team received, whichever is smaller,
+    // minus three times the largest request.
     static bool is_left_behind(crowded_pool_outcome const& outcome, std::size_t team, std::size_t from)
     {
         token_count received_tokens = 0;
@@ -77,6 +77,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(unlike_engines_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(unequal_engines_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/unseen_work_test.cpp
+++ b/tests/dispatch/unreported_work_test.cpp
@@ -7,8 +7,8 @@
 
 namespace shedhill::dispatch {
 
-class unseen_work_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(unseen_work_test);
+class unreported_work_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(unreported_work_test);
     CPPUNIT_TEST(nothing_is_estimated_before_any_sample);
     CPPUNIT_TEST(the_estimate_is_the_arrival_rate_times_the_report_age);
     CPPUNIT_TEST(a_long_gap_does_not_change_the_report_age);
@@ -63,6 +63,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(unseen_work_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(unreported_work_test);
 
 } // namespace shedhill::dispatch
--- a/tests/dispatch/wide_pool_test.cpp
+++ b/tests/dispatch/wide_pool_test.cpp
@@ -46,10 +46,10 @@
         }
     }
 
-    // The most popular prompt parts are requested more than one engine sustains, and no router knows what others sent
-    // in the last tenth of a second. Nine tenths of the prompts must find an engine without pending prefill, by the
-    // policy's own limit. Without an estimate of unreported work, the ninth decile of the wait was 52 and 56 ms with 12
-    // and 120 routers.
+    // The most popular prompt parts are requested more than one engine sustains, and routers have no reports of what
+    // others sent in the last tenth of a second. Nine tenths of the prompts must find an engine without pending
+    // prefill, by the policy's own limit. Without an estimate of unreported work, the ninth decile of the wait was 52
+    // and 56 ms with 12 and 120 routers.
     void prompts_find_idle_engines_although_reports_are_old()
     {
         for (std::size_t const routers : { 12U, 100U }) {
--- a/tests/harness/hosted_fleet.h
+++ b/tests/harness/hosted_fleet.h
@@ -30,6 +30,7 @@
     std::filesystem::path log_folder;
     // Additional arguments of all routers.
     std::vector<std::string> router_arguments;
+    // Bound of the fleet's retries in a window: this fraction of the requests, plus this number.
     double retry_ratio { 0.5 };
     int retry_slack { 500 };
     // Requests a second that a replica sustains while it is cold; 0 if replicas are never cold.
--- a/tests/joined/fuzz_test.cpp
+++ b/tests/joined/fuzz_test.cpp
@@ -99,7 +99,7 @@
     join_routers,
     unreachable_engine,
     reachable_engine,
-    doubled_messages,
+    duplicated_messages,
     reordered_messages,
     clean_messages,
 };
@@ -165,7 +165,7 @@
     case failure::reachable_engine:
         fleet.set_engine_reachable(endpoint, true);
         break;
-    case failure::doubled_messages:
+    case failure::duplicated_messages:
         fleet.set_faults({ 300, 0, milliseconds(0), 0 });
         break;
     case failure::reordered_messages:
@@ -252,11 +252,11 @@
 
 class fuzz_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(fuzz_test);
-    CPPUNIT_TEST(promises_hold_under_any_sequence_of_failures);
-    CPPUNIT_TEST(promises_hold_under_every_pair_of_failures);
+    CPPUNIT_TEST(guarantees_hold_under_any_sequence_of_failures);
+    CPPUNIT_TEST(guarantees_hold_under_every_pair_of_failures);
     CPPUNIT_TEST_SUITE_END();
 
-    void promises_hold_under_every_pair_of_failures()
+    void guarantees_hold_under_every_pair_of_failures()
     {
         constexpr int kinds = static_cast<int>(failure::clean_messages) + 1;
         for (int pair = 0; pair < kinds * kinds; ++pair) {
@@ -274,9 +274,9 @@
         }
     }
 
-    void promises_hold_under_any_sequence_of_failures()
+    void guarantees_hold_under_any_sequence_of_failures()
     {
-        testing::check_property("promises hold under any sequence of failures", [] {
+        testing::check_property("guarantees hold under any sequence of failures", [] {
             fuzz_model model;
             fuzz_fleet sut;
             auto const commands = *rc::state::gen::commands(
--- a/tests/joined/load.h
+++ b/tests/joined/load.h
@@ -11,7 +11,7 @@
     std::uint32_t weight { 1 };
     // The routers to which the team's requests are sent, in turn.
     std::vector<std::size_t> routers;
-    // The number of requests that the team keeps open: it sends a new one when one is answered.
+    // The number of requests that the team has open at any time: it sends a new one when one is answered.
     int open_requests { 1 };
     std::int64_t tokens { 16 };
     milliseconds starts_after { 0 };
--- a/tests/joined/membership_test.cpp
+++ b/tests/joined/membership_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(membership_test);
     CPPUNIT_TEST(a_leaving_endpoint_gets_nothing_new_though_the_list_lags);
     CPPUNIT_TEST(a_new_revision_is_in_force_everywhere_in_seconds);
-    CPPUNIT_TEST(a_router_behind_learns_the_revision_from_messages);
+    CPPUNIT_TEST(a_router_behind_receives_the_revision_from_its_peers);
     CPPUNIT_TEST(a_router_cut_off_from_the_platform_stops_serving_stale_rules);
     CPPUNIT_TEST(a_restart_with_the_platform_down_asks_a_peer);
     CPPUNIT_TEST(a_restart_with_no_one_to_ask_is_not_ready);
@@ -77,7 +77,7 @@
         }
     }
 
-    void a_router_behind_learns_the_revision_from_messages()
+    void a_router_behind_receives_the_revision_from_its_peers()
     {
         fleet_options settings;
         // The routers read the head revision too seldom to learn of the change from the platform in time.
--- a/tests/joined/outcomes_test.cpp
+++ b/tests/joined/outcomes_test.cpp
@@ -11,8 +11,8 @@
     CPPUNIT_TEST_SUITE(outcomes_test);
     CPPUNIT_TEST(answers_reach_their_own_callers_when_messages_come_twice);
     CPPUNIT_TEST(an_answer_with_a_gap_is_never_called_whole);
-    CPPUNIT_TEST(what_may_not_be_repeated_is_not_sent_again_after_a_lost_endpoint);
-    CPPUNIT_TEST(what_may_be_repeated_is_answered_whole_after_a_lost_endpoint);
+    CPPUNIT_TEST(a_non_repeatable_request_is_not_sent_again_after_a_lost_endpoint);
+    CPPUNIT_TEST(a_repeatable_request_is_answered_whole_after_a_lost_endpoint);
     CPPUNIT_TEST(an_answer_that_has_begun_is_not_begun_again);
     CPPUNIT_TEST(a_refusal_by_a_leaving_endpoint_runs_elsewhere_and_once);
     CPPUNIT_TEST(a_repeat_of_the_key_at_another_router_does_not_run);
@@ -20,17 +20,17 @@
     CPPUNIT_TEST(two_teams_may_use_the_same_key);
     CPPUNIT_TEST(a_claim_whose_answer_was_lost_never_runs_twice);
     CPPUNIT_TEST(a_router_that_dies_after_sending_leaves_the_key_claimed);
-    CPPUNIT_TEST(the_platform_down_refuses_at_once_what_needs_a_claim);
+    CPPUNIT_TEST(requests_that_need_a_claim_are_refused_at_once_while_the_platform_is_down);
     CPPUNIT_TEST(a_repeat_that_is_refused_is_not_called_not_run);
     CPPUNIT_TEST(claims_are_written_in_groups);
     CPPUNIT_TEST(an_unreachable_engine_is_retried_elsewhere);
     CPPUNIT_TEST(a_frozen_endpoint_is_given_up_and_its_late_answer_ignored);
     CPPUNIT_TEST(retries_are_bounded_when_everything_breaks);
     CPPUNIT_TEST(a_deadline_in_the_queue_is_answered_at_once_as_not_run);
-    CPPUNIT_TEST(a_full_queue_refuses_at_once_and_says_when_to_come_back);
+    CPPUNIT_TEST(a_full_queue_refuses_at_once_with_a_retry_delay);
     CPPUNIT_TEST(a_caller_that_leaves_frees_its_slot);
     CPPUNIT_TEST(an_order_whose_caller_leaves_runs_to_its_end);
-    CPPUNIT_TEST(a_draining_router_refuses_what_waits_and_ends_what_runs);
+    CPPUNIT_TEST(a_draining_router_refuses_waiting_requests_and_finishes_running_ones);
     CPPUNIT_TEST(unknown_keys_and_missing_idempotency_keys_are_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -116,7 +116,7 @@
         CPPUNIT_ASSERT(whole > 0 && whole < 40);
     }
 
-    void what_may_not_be_repeated_is_not_sent_again_after_a_lost_endpoint()
+    void a_non_repeatable_request_is_not_sent_again_after_a_lost_endpoint()
     {
         ready_fleet fleet;
         auto request = plan("clutch", "order-1");
@@ -132,7 +132,7 @@
         CPPUNIT_ASSERT_EQUAL(1, runs_of(fleet, "clutch"));
     }
 
-    void what_may_be_repeated_is_answered_whole_after_a_lost_endpoint()
+    void a_repeatable_request_is_answered_whole_after_a_lost_endpoint()
     {
         ready_fleet fleet;
         auto request = plan("stew");
@@ -249,7 +249,7 @@
         CPPUNIT_ASSERT_EQUAL(1, runs_of(fleet, "clutch"));
     }
 
-    void the_platform_down_refuses_at_once_what_needs_a_claim()
+    void requests_that_need_a_claim_are_refused_at_once_while_the_platform_is_down()
     {
         ready_fleet fleet;
         fleet.set_platform_down(true);
@@ -360,7 +360,7 @@
         CPPUNIT_ASSERT(view.retry_after.has_value());
     }
 
-    void a_full_queue_refuses_at_once_and_says_when_to_come_back()
+    void a_full_queue_refuses_at_once_with_a_retry_delay()
     {
         fleet_options settings;
         settings.router.queue_bound = 5;
@@ -404,7 +404,7 @@
         assert_refused(fleet.caller(1, again), wire::run_outcome::unknown, wire::reason::claim_taken);
     }
 
-    void a_draining_router_refuses_what_waits_and_ends_what_runs()
+    void a_draining_router_refuses_waiting_requests_and_finishes_running_ones()
     {
         ready_fleet fleet;
         std::vector<request_number> requests;
--- a/tests/joined/sharing_test.cpp
+++ b/tests/joined/sharing_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(shares_stay_even_over_restarts_of_routers);
     CPPUNIT_TEST(shares_even_out_after_a_partition);
     CPPUNIT_TEST(the_gap_recovers_within_ten_seconds_of_a_heal);
-    CPPUNIT_TEST(the_gap_recovers_as_fast_on_six_seeds);
+    CPPUNIT_TEST(the_gap_recovers_near_the_minimum_time_on_six_seeds);
     CPPUNIT_TEST(an_own_first_endpoint_serves_guests_last);
     CPPUNIT_TEST(the_gap_is_near_that_of_perfect_counters);
     CPPUNIT_TEST_SUITE_END();
@@ -131,7 +131,7 @@
     // The bound is relative to the minimum recovery time of each seed, because a fixed bound would be impossible for
     // some seeds and loose for others: after the partition of seed 2 no sequence of choices closes the gap in ten
     // seconds.
-    void the_gap_recovers_as_fast_on_six_seeds()
+    void the_gap_recovers_near_the_minimum_time_on_six_seeds()
     {
         constexpr milliseconds max_delay { 2500 };
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -169,6 +169,7 @@
         return change;
     }
 
+    // The guests are a team of another partner, to which the owner of the endpoints lends them.
     void an_own_first_endpoint_serves_guests_last()
     {
         joined_fleet fleet({});
--- a/tests/ledger/service_home_test.cpp
+++ b/tests/ledger/service_aggregator_test.cpp
@@ -10,8 +10,8 @@
 
 namespace shedhill::ledger {
 
-class service_home_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(service_home_test);
+class service_aggregator_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(service_aggregator_test);
     CPPUNIT_TEST(sums_over_reporters);
     CPPUNIT_TEST(a_duplicate_or_late_report_changes_nothing);
     CPPUNIT_TEST(a_restarted_reporter_loses_nothing);
@@ -153,6 +153,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(service_home_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(service_aggregator_test);
 
 } // namespace shedhill::ledger
--- a/tests/peering/peer_message_test.cpp
+++ b/tests/peering/peer_message_test.cpp
@@ -70,7 +70,7 @@
         return state.report.peer.value() + scope + load_text_of(state.report.loads.at(0))
             + std::to_string(state.report.teams.at(0).admitted) + std::to_string(state.report.parts.at(0).part)
             + state.address + std::to_string(state.documents.at(0).version) + to_text(state.members.at(0))
-            + std::to_string(state.number) + (state.is_forwarded ? " passed on " : " ") + to_text(state.sender())
+            + std::to_string(state.number) + (state.is_forwarded ? " forwarded " : " ") + to_text(state.sender())
             + state.report.source().value() + std::to_string(state.report.routers)
             + std::to_string(state.report.overloaded_routers) + crash_text_of(state.report.crashes.at(0));
     }
--- a/tests/peering/watch_assignment_test.cpp
+++ b/tests/peering/watch_assignment_test.cpp
@@ -68,7 +68,7 @@
     void all_watch_when_the_watchers_cannot_reach_the_store()
     {
         CPPUNIT_ASSERT_EQUAL(std::size_t { 20 }, find_watchers(20, {}, milliseconds(1600)).size());
-        // Two of them probe whether the store is back.
+        // Two of them probe whether the store is reachable again.
         std::size_t probers = 0;
         for (int self = 0; self < 20; ++self) {
             watch_assignment assignment(router(self));
--- a/tests/platform/binding_test.cpp
+++ b/tests/platform/binding_test.cpp
@@ -13,11 +13,11 @@
     CPPUNIT_TEST(a_request_is_read_field_by_field);
     CPPUNIT_TEST(a_bad_field_is_refused);
     CPPUNIT_TEST(a_call_forwards_the_callers_fields_without_the_key);
-    CPPUNIT_TEST(what_a_router_alone_sets_is_never_the_callers);
-    CPPUNIT_TEST(what_is_the_callers_is_kept_though_named_in_connection);
-    CPPUNIT_TEST(no_set_of_fields_smuggles_what_a_router_sets);
+    CPPUNIT_TEST(fields_that_only_routers_set_are_never_copied_from_callers);
+    CPPUNIT_TEST(a_callers_own_fields_are_forwarded_though_named_in_connection);
+    CPPUNIT_TEST(no_caller_fields_replace_fields_that_routers_set);
     CPPUNIT_TEST(a_resumed_call_names_the_last_event_once);
-    CPPUNIT_TEST(only_the_mark_proves_not_run);
+    CPPUNIT_TEST(only_the_not_executed_field_proves_not_run);
     CPPUNIT_TEST(an_answer_to_another_call_is_detected_by_its_id);
     CPPUNIT_TEST(endpoint_notices_are_parsed_strictly);
     CPPUNIT_TEST(a_refusal_has_a_retry_delay);
@@ -121,7 +121,7 @@
     static constexpr std::array fields_set_by_router { "Shedhill-Tenant", "Shedhill-Expect-Instance",
         "Shedhill-Deadline-Ms" };
 
-    void what_a_router_alone_sets_is_never_the_callers()
+    void fields_that_only_routers_set_are_never_copied_from_callers()
     {
         for (auto const* name : fields_never_forwarded) {
             auto request = stream_request();
@@ -138,7 +138,7 @@
         }
     }
 
-    void what_is_the_callers_is_kept_though_named_in_connection()
+    void a_callers_own_fields_are_forwarded_though_named_in_connection()
     {
         auto request = stream_request();
         request.set("Shedhill-Model", "m");
@@ -152,14 +152,14 @@
     // them, and checks that none of them reaches the endpoint with the caller's value.
     static void check_nothing_is_smuggled()
     {
-        std::vector<std::string> known(fields_never_forwarded.begin(), fields_never_forwarded.end());
-        known.insert(known.end(), fields_set_by_router.begin(), fields_set_by_router.end());
-        known.emplace_back("X-Own");
+        std::vector<std::string> field_names(fields_never_forwarded.begin(), fields_never_forwarded.end());
+        field_names.insert(field_names.end(), fields_set_by_router.begin(), fields_set_by_router.end());
+        field_names.emplace_back("X-Own");
         auto const picks
-            = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(0, known.size()));
+            = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(0, field_names.size()));
         std::string text = "POST /lohu/2f HTTP/1.1\r\nHost: ficu.example\r\n";
         for (auto const pick : picks) {
-            auto name = known[pick];
+            auto name = field_names[pick];
             for (auto& letter : name) {
                 if (*rc::gen::arbitrary<bool>())
                     letter = boost::beast::detail::ascii_tolower(letter);
@@ -183,9 +183,10 @@
             RC_ASSERT(count_fields(call, name) == 1);
     }
 
-    void no_set_of_fields_smuggles_what_a_router_sets()
+    void no_caller_fields_replace_fields_that_routers_set()
     {
-        testing::check_property("no set of fields smuggles what a router sets", [] { check_nothing_is_smuggled(); });
+        testing::check_property(
+            "no caller fields replace fields that routers set", [] { check_nothing_is_smuggled(); });
     }
 
     void a_resumed_call_names_the_last_event_once()
@@ -207,7 +208,7 @@
         return caller_binding::kind_of(head, stream_request());
     }
 
-    void only_the_mark_proves_not_run()
+    void only_the_not_executed_field_proves_not_run()
     {
         using relay::answer_kind;
         std::pair<std::string, std::string> const id("Shedhill-Request-Id", "9c41");
--- a/tests/processes/hosted_crash_test.cpp
+++ b/tests/processes/hosted_crash_test.cpp
@@ -10,7 +10,7 @@
 
 class hosted_crash_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(hosted_crash_test);
-    CPPUNIT_TEST(a_resumable_request_that_comes_again_ends_three_replicas_at_most);
+    CPPUNIT_TEST(a_repeated_resumable_request_ends_three_replicas_at_most);
     CPPUNIT_TEST(a_request_that_may_not_be_repeated_ends_three_replicas_at_most);
     CPPUNIT_TEST(routers_of_other_failure_domains_receive_a_quarantine);
     CPPUNIT_TEST(a_quarantine_outlives_the_loss_of_all_routers);
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT_EQUAL(ended, ended_replicas(fleet));
     }
 
-    void a_resumable_request_that_comes_again_ends_three_replicas_at_most() { check_repeats_of("/stream/crash/a"); }
+    void a_repeated_resumable_request_ends_three_replicas_at_most() { check_repeats_of("/stream/crash/a"); }
     void a_request_that_may_not_be_repeated_ends_three_replicas_at_most() { check_repeats_of("/order/crash/a"); }
 };
 
--- a/tests/processes/hosted_test.cpp
+++ b/tests/processes/hosted_test.cpp
@@ -12,20 +12,20 @@
 class hosted_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(hosted_test);
     CPPUNIT_TEST(each_kind_of_request_is_served);
-    CPPUNIT_TEST(a_broken_stream_is_taken_up_elsewhere);
+    CPPUNIT_TEST(a_broken_stream_is_resumed_at_another_replica);
     CPPUNIT_TEST(a_stream_that_cannot_be_resumed_does_not_look_whole);
     CPPUNIT_TEST(an_order_runs_once_whatever_happens);
     CPPUNIT_TEST(a_request_that_one_replica_rejected_is_served_by_another);
     CPPUNIT_TEST(a_changed_configuration_is_in_force_at_every_router);
     CPPUNIT_TEST(routers_that_do_not_watch_the_store_receive_changes_from_watchers);
-    CPPUNIT_TEST(an_evacuation_reaches_every_router_and_is_taken_back);
+    CPPUNIT_TEST(an_evacuation_reaches_every_router_and_can_be_undone);
     CPPUNIT_TEST(a_leaving_replica_gets_nothing_new);
     CPPUNIT_TEST(requests_are_served_while_the_store_is_down);
-    CPPUNIT_TEST(entries_that_lapsed_in_an_outage_are_kept_for_a_while);
-    CPPUNIT_TEST(a_router_that_starts_without_the_store_learns_from_another);
+    CPPUNIT_TEST(entries_that_lapsed_in_an_outage_are_retained_for_a_limited_time);
+    CPPUNIT_TEST(a_router_that_starts_without_the_store_is_configured_by_another);
     CPPUNIT_TEST(a_full_read_follows_a_lost_feed_history);
     CPPUNIT_TEST(a_planned_stop_cuts_nothing);
-    CPPUNIT_TEST(a_log_that_nobody_reads_holds_nothing_up);
+    CPPUNIT_TEST(a_log_that_nobody_reads_blocks_nothing);
     CPPUNIT_TEST(the_operators_tool_reads_router_metrics);
     CPPUNIT_TEST(a_router_serves_without_its_metrics_port);
     CPPUNIT_TEST(bad_settings_are_refused);
@@ -87,7 +87,7 @@
         CPPUNIT_ASSERT(fleet.metric(0, "shedhill_first_event_seconds_count{pool=\"plain\"}") == 1);
     }
 
-    void a_broken_stream_is_taken_up_elsewhere()
+    void a_broken_stream_is_resumed_at_another_replica()
     {
         auto fleet = start_fleet(1, 2);
         fleet.control_replica(0, "cut");
@@ -177,7 +177,7 @@
         CPPUNIT_ASSERT(wait_until([&] { return watcher_count() == 2; }));
     }
 
-    void an_evacuation_reaches_every_router_and_is_taken_back()
+    void an_evacuation_reaches_every_router_and_can_be_undone()
     {
         constexpr std::size_t routers = 4;
         auto fleet = start_fleet(routers, 2);
@@ -227,7 +227,7 @@
             200, [&](int tries) { return fleet.send_request(0, "/added/a", "late-" + std::to_string(tries)); }));
     }
 
-    void entries_that_lapsed_in_an_outage_are_kept_for_a_while()
+    void entries_that_lapsed_in_an_outage_are_retained_for_a_limited_time()
     {
         auto fleet = start_fleet(1, 1);
         fleet.control_store({ { "down", true } });
@@ -240,7 +240,7 @@
             503, [&](int tries) { return fleet.send_request(0, "/look/a", "late-" + std::to_string(tries)); }));
     }
 
-    void a_router_that_starts_without_the_store_learns_from_another()
+    void a_router_that_starts_without_the_store_is_configured_by_another()
     {
         auto fleet = start_fleet(2, 1);
         fleet.control_store({ { "down", true } });
@@ -286,14 +286,14 @@
     }
 
     // The harness reads nothing after the first line, so the pipe is full after a few hundred requests.
-    void a_log_that_nobody_reads_holds_nothing_up()
+    void a_log_that_nobody_reads_blocks_nothing()
     {
         auto const fleet = start_fleet(1, 1, 0);
-        int asked = 0;
-        while (fleet.metric(0, "shedhill_log_lines_unread") == 0 && asked < 3000) {
+        int sent_requests = 0;
+        while (fleet.metric(0, "shedhill_log_lines_unread") == 0 && sent_requests < 3000) {
             for (int index = 0; index < 50; ++index)
                 CPPUNIT_ASSERT_EQUAL(std::uint16_t { 200 },
-                    status_of(fleet.send_request(0, "/look/a", "id-" + std::to_string(++asked))));
+                    status_of(fleet.send_request(0, "/look/a", "id-" + std::to_string(++sent_requests))));
         }
         CPPUNIT_ASSERT(fleet.metric(0, "shedhill_log_lines_unread") > 0);
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 200 }, status_of(fleet.send_request(0, "/look/a", "last")));
@@ -314,16 +314,17 @@
                 { "fleet", fleet.router(0).address("metrics"), fleet.router(1).address("metrics") }, printed)
                 .value());
         CPPUNIT_ASSERT(printed.find("2 routers, 2 ready, 0 silent") != std::string::npos);
-        auto const gone = fleet.router(1).address("metrics");
+        auto const killed_router_address = fleet.router(1).address("metrics");
         fleet.router(1).kill();
-        CPPUNIT_ASSERT_EQUAL(5, child_process::run(program_path("shedhill"), { "routers", gone }, printed).value());
+        CPPUNIT_ASSERT_EQUAL(
+            5, child_process::run(program_path("shedhill"), { "routers", killed_router_address }, printed).value());
     }
 
     void a_router_serves_without_its_metrics_port()
     {
-        auto const taken = fault_proxy::open("127.0.0.1:1");
-        CPPUNIT_ASSERT(taken.has_value());
-        auto const address = (*taken)->address();
+        auto const port_holder = fault_proxy::open("127.0.0.1:1");
+        CPPUNIT_ASSERT(port_holder.has_value());
+        auto const address = (*port_holder)->address();
         hosted_fleet_options options;
         options.router_arguments = { "--metrics-port=" + address.substr(address.rfind(':') + 1) };
         auto const fleet = hosted_fleet::start(options);
--- a/tests/processes/operators_test.cpp
+++ b/tests/processes/operators_test.cpp
@@ -143,10 +143,10 @@
         for (std::size_t index = 0; index < files.size(); ++index) {
             // An accepted change is stored. A change that lost too many races is reported with exit code 4.
             auto const* partner = index % 2 == 0 ? "batinah" : "recetario";
-            auto const is_there
+            auto const is_stored
                 = tool(running, { "get", std::string("team:") + partner + "/racer-" + std::to_string(index) }).code
                 == 0;
-            CPPUNIT_ASSERT_EQUAL(is_there ? 0 : 4, codes[index]);
+            CPPUNIT_ASSERT_EQUAL(is_stored ? 0 : 4, codes[index]);
         }
     }
 
--- a/tests/relay/call_connection_test.cpp
+++ b/tests/relay/call_connection_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(a_truncated_body_is_broken);
     CPPUNIT_TEST(an_invalid_answer_breaks_the_call);
     CPPUNIT_TEST(bytes_after_the_answer_end_the_connection);
-    CPPUNIT_TEST(a_second_answer_that_comes_late_is_skipped);
+    CPPUNIT_TEST(a_late_answer_to_an_earlier_call_is_skipped);
     CPPUNIT_TEST(bytes_on_an_idle_connection_close_it);
     CPPUNIT_TEST(a_call_to_a_closed_port_is_not_sent);
     CPPUNIT_TEST(an_answer_before_the_call_was_read_ends_the_connection);
@@ -32,12 +32,12 @@
         {
             statuses.push_back(head.result_int());
             auto const id = field_of(head, "Id");
-            return wanted_id.empty() || id == wanted_id ? head_decision::accept : head_decision::skip;
+            return expected_id.empty() || id == expected_id ? head_decision::accept : head_decision::skip;
         }
         void on_data(std::string_view data) override { body += data; }
         void on_call_end(call_end ended) override { end = ended; }
 
-        std::string wanted_id;
+        std::string expected_id;
         std::vector<unsigned> statuses;
         std::string body;
         std::optional<call_end> end;
@@ -146,13 +146,13 @@
         CPPUNIT_ASSERT(!started.connection->is_idle());
     }
 
-    void a_second_answer_that_comes_late_is_skipped()
+    void a_late_answer_to_an_earlier_call_is_skipped()
     {
         scripted_server server(m_loop);
         server.add("HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nId: new\r\n"
                    "Content-Length: 3\r\n\r\nnew");
         started_call started { std::make_shared<call_connection>(m_loop), std::make_unique<collected_call>() };
-        started.call->wanted_id = "new";
+        started.call->expected_id = "new";
         started.connection->start(server.address(), simple_call, *started.call);
         run_until_ended(*started.call);
         CPPUNIT_ASSERT(started.call->end == call_end::complete);
--- a/tests/relay/caller_connection_test.cpp
+++ b/tests/relay/caller_connection_test.cpp
@@ -20,12 +20,12 @@
     CPPUNIT_TEST(a_smuggled_request_is_refused);
     CPPUNIT_TEST(limits_are_enforced);
     CPPUNIT_TEST(a_close_by_the_caller_is_reported);
-    CPPUNIT_TEST(a_request_whose_caller_has_left_is_not_taken_up);
-    CPPUNIT_TEST(an_answer_reaches_a_caller_who_is_let_go);
+    CPPUNIT_TEST(a_request_whose_caller_has_left_is_not_started);
+    CPPUNIT_TEST(an_answer_reaches_a_caller_that_is_released);
     CPPUNIT_TEST(a_broken_answer_does_not_look_whole);
-    CPPUNIT_TEST(only_whole_events_are_passed_on);
-    CPPUNIT_TEST(events_that_come_again_are_left_out);
-    CPPUNIT_TEST(a_missing_event_is_seen);
+    CPPUNIT_TEST(only_whole_events_are_forwarded);
+    CPPUNIT_TEST(repeated_events_are_omitted);
+    CPPUNIT_TEST(a_missing_event_is_detected);
     CPPUNIT_TEST_SUITE_END();
 
     // The caller's end of a caller_connection.
@@ -178,7 +178,7 @@
         CPPUNIT_ASSERT(served.is_disconnected);
     }
 
-    void a_request_whose_caller_has_left_is_not_taken_up()
+    void a_request_whose_caller_has_left_is_not_started()
     {
         server served(m_loop);
         // The caller sends a request and closes before the loop runs.
@@ -200,7 +200,7 @@
 
     // Guards against the loss of an answer that was completed, but not yet written, when a stopping router releases its
     // callers.
-    void an_answer_reaches_a_caller_who_is_let_go()
+    void an_answer_reaches_a_caller_that_is_released()
     {
         server served(m_loop);
         served.answers_immediately = false;
@@ -227,7 +227,7 @@
         CPPUNIT_ASSERT(caller.received.ends_with("2\r\nab\r\n"));
     }
 
-    void only_whole_events_are_passed_on()
+    void only_whole_events_are_forwarded()
     {
         event_stream stream;
         std::string events;
@@ -239,7 +239,7 @@
         CPPUNIT_ASSERT(stream.partial().empty());
     }
 
-    void events_that_come_again_are_left_out()
+    void repeated_events_are_omitted()
     {
         event_stream stream;
         std::string events;
@@ -252,7 +252,7 @@
         CPPUNIT_ASSERT(!stream.has_gap());
     }
 
-    void a_missing_event_is_seen()
+    void a_missing_event_is_detected()
     {
         event_stream stream;
         std::string events;
--- a/tests/relay/peer_mesh_test.cpp
+++ b/tests/relay/peer_mesh_test.cpp
@@ -8,7 +8,7 @@
 
 class peer_mesh_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_mesh_test);
-    CPPUNIT_TEST(a_message_that_is_not_known_is_skipped);
+    CPPUNIT_TEST(a_message_of_unknown_kind_is_skipped);
     CPPUNIT_TEST(sums_go_to_other_failure_domains_only);
     CPPUNIT_TEST(messages_are_counted_by_kind_at_both_ends);
     CPPUNIT_TEST(an_empty_buffer_frees_its_memory);
@@ -56,7 +56,7 @@
     }
 
     // A router of a later version may send messages that this version cannot decode.
-    void a_message_that_is_not_known_is_skipped()
+    void a_message_of_unknown_kind_is_skipped()
     {
         event_loop loop;
         router a(loop, "north");
--- a/tests/relay/stop_sequence_test.cpp
+++ b/tests/relay/stop_sequence_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(stop_sequence_test);
     CPPUNIT_TEST(nothing_happens_before_a_stop_is_requested);
     CPPUNIT_TEST(callers_are_released_once_the_balancer_has_noticed);
-    CPPUNIT_TEST(open_work_is_waited_for);
+    CPPUNIT_TEST(the_stop_waits_for_open_work);
     CPPUNIT_TEST(the_stop_ends_in_time_whatever_is_open);
     CPPUNIT_TEST(a_second_signal_does_not_restart_the_stop);
     CPPUNIT_TEST_SUITE_END();
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(stop.advance(nothing_open, stop_time, at(3708)) == stop_step::end_process);
     }
 
-    static void open_work_is_waited_for()
+    static void the_stop_waits_for_open_work()
     {
         auto stop = make_started();
         CPPUNIT_ASSERT(stop.advance({ 1, false }, stop_time, at(3700)) == stop_step::close_callers);
--- a/tests/soak/crash_checks.cpp
+++ b/tests/soak/crash_checks.cpp
@@ -16,7 +16,7 @@
 
 // Routers quarantine a request after this many crashes.
 constexpr std::size_t crashes_before_quarantine = 3;
-// Arrivals that are allowed after the last of these crashes was known to the routers.
+// Arrivals that are allowed after the routers have received the report of the last of these crashes.
 constexpr std::size_t max_later_arrivals = 3;
 // Every router that was undisturbed for this duration has received the report of a crash by the end of it.
 constexpr milliseconds propagation_time { 3000 };
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -29,7 +29,7 @@
     replica_cuts,
     replica_mute,
     replica_fails,
-    // Faults of links, made by proxies.
+    // Faults of links, injected by proxies.
     replica_link,
     store_link,
     // Faults of the store: it is down, loses its feed history, loses its answers, or its endpoint entries expire.
--- a/tests/soak/soak_record.h
+++ b/tests/soak/soak_record.h
@@ -50,7 +50,7 @@
     std::string body;
 };
 
-// The revision that a router had in force, known from an answer on a route that only this revision has.
+// The revision that a router had in force, observed in an answer on a route that only this revision has.
 struct observed_revision {
     std::size_t router { 0 };
     // Number of the router's process, counted from 1 for the first start.
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -18,7 +18,7 @@
 constexpr int evacuation_propagation_ms = 3000;
 constexpr std::chrono::milliseconds probe_timeout { 3000 };
 constexpr int probe_pause_ms = 40;
-// Probes ask for the routes of the newest revision and of those before it, this many in all.
+// Each probe requests the route of one of the newest revisions, of which this number is probed in turn.
 constexpr std::uint64_t revisions_probed = 3;
 
 char const* name_of(caller_end end)
--- a/tests/stand_ins/engine.cpp
+++ b/tests/stand_ins/engine.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSD-2-Clause
-// The engine's answer repeats the text of the last message before the number of each token, so that a test can tell the
-// answer to its own request.
+// The engine's answer repeats the text of the last message before the number of each token, so that a test
+// recognizes the answer to its own request.
 #include "tests/stand_ins/engine.h"
 
 #include <algorithm>
--- a/tests/stand_ins/engine.h
+++ b/tests/stand_ins/engine.h
@@ -21,7 +21,10 @@
     }
 
     // Serves POST /v1/chat/completions, POST /control {"mode": "ok" | "stall" | "cut" | "twice", "after": N,
-    // "delay_ms": N}, GET /now (current load), and GET /load (load that is up to half a second old).
+    // "delay_ms": N}, GET /now (current load), and GET /load (load that is up to half a second old). The modes other
+    // than "ok" affect the tokens of a stream from number "after" on: "stall" delays each of them by 30 seconds, "cut"
+    // aborts the connection, and "twice" sends each of them twice. "cut" also aborts every answer that is not streamed.
+    // "delay_ms" delays the first token of a stream.
     void serve(net::http_exchange& exchange);
 
 private:
--- a/tests/stand_ins/hosted_store.h
+++ b/tests/stand_ins/hosted_store.h
@@ -15,8 +15,8 @@
 public:
     // Serves GET /rows-get, /rows-feed; POST /rows-tx; POST /control {"down": bool, "lose": bool, "forget": true,
     // "put":
-    // [{table, key, value}], "remove": [{table, key}]}; GET /counts. While answers are lost
-    // ("lose"), transactions still take effect.
+    // [{table, key, value}], "remove": [{table, key}]}; GET /counts. While answers are lost ("lose"), transactions
+    // still take effect. After "forget" the feed has no history before the current version.
     void serve(net::http_exchange& exchange);
 
 private:
--- a/tests/support/property.h
+++ b/tests/support/property.h
@@ -14,7 +14,7 @@
 template <typename Property>
 void check_property(std::string const& description, Property&& property)
 {
-    // NOTE: RapidCheck reads this variable once, at the first property. A value from the environment is kept.
+    // NOTE: RapidCheck reads this variable once, at the first property. A value from the environment takes precedence.
     setenv("RC_PARAMS", "seed=20261202 max_success=100", 0);
     CPPUNIT_ASSERT_MESSAGE(description, rc::check(description, std::forward<Property>(property)));
 }
